--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/AcceptedSubmission.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/AcceptedSubmission.java
@@ -3,11 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 
 /**
- * A submission as it is stored when it is accepted.
+ * A submission with the routing decision made when it was accepted. Stored as JSON under the names
+ * of the components.
  *
- * @param submission what the caller asked for
- * @param route the name of the route that took it
- * @param service the service whose workers run it, as the route said at that time
+ * @param submission the caller's request
+ * @param route the name of the route that matched the request
+ * @param service the service whose workers run the tasks, as configured by the route when the
+ *     submission was accepted
  * @param acceptedUnixMillis when the submission was accepted, in milliseconds since 1970
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/EndKind.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/EndKind.java
@@ -1,17 +1,17 @@
 package org.damasktiller.scheduler.model;
 
-/** How a run ended. */
+/** The reason why a run ended, as reported by its worker. */
 public enum EndKind {
-    /** The task is done. */
+    /** The task completed successfully. */
     DONE,
-    /** The task failed through its own fault or the worker's. */
+    /** The task failed, because of an error of its own or of the worker. */
     FAILED,
-    /** The run was stopped by an order. */
+    /** The owner of the cell ordered the worker to stop the run. */
     STOPPED,
-    /** The worker's lease expired. */
+    /** The worker's lease expired before the owner of the cell renewed it. */
     LAPSED,
-    /** Another member of the gang ended. */
+    /** Another member of the same gang ended. */
     BROKEN,
-    /** The run waited in vain for the rest of its gang. */
+    /** The other members of the gang did not start while the run waited for them. */
     ALONE
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/IngressLimits.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/IngressLimits.java
@@ -1,9 +1,9 @@
 package org.damasktiller.scheduler.model;
 
 /**
- * Limits on requests of callers.
+ * Limits on the HTTP requests and connections of callers.
  *
- * @param bodyBytes the largest body, in bytes
- * @param idleMillis how long a connection may be idle, in milliseconds
+ * @param bodyBytes the maximum size of a request body, in bytes
+ * @param idleMillis the time after which an idle connection is closed, in milliseconds
  */
 public record IngressLimits(int bodyBytes, long idleMillis) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Inventory.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Inventory.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What a worker runs and which ends it keeps.
+ * The runs that a worker reports: those in progress and those whose end is not yet acknowledged.
  *
  * @param running the active runs
- * @param ended the ends that have not been acknowledged, in order
+ * @param ended the ended runs that have not been acknowledged, in the order of their sequence
+ *     numbers
  */
 public record Inventory(List<RunView> running, List<EndView> ended) {
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public Inventory {
         running = List.copyOf(running);
         ended = List.copyOf(ended);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Manifest.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Manifest.java
@@ -6,28 +6,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The operator's configuration of one version.
+ * One version of the operator's configuration.
  *
- * @param version its version
- * @param routes the queues
- * @param services the services
- * @param limits the limits on requests
+ * @param version the version number, higher for later manifests
+ * @param routes the queues that accept submissions
+ * @param services the names of the services that workers may belong to
+ * @param limits the limits on requests of callers
  */
 public record Manifest(
         long version, List<Route> routes, Set<String> services, IngressLimits limits) {
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the collections. */
     public Manifest {
         routes = List.copyOf(routes);
         services = Set.copyOf(services);
     }
 
     /**
-     * Finds the route of a request: the one of its host with the longest prefix of its path.
+     * Finds the route of a request. Among the routes of the host, the one with the longest path
+     * prefix that matches is chosen. Hosts are compared without regard to case.
      *
-     * @param host the host without a port
-     * @param path the path
-     * @return the route, or null if there is none
+     * @param host the requested host, without a port
+     * @param path the path of the request
+     * @return the route, or null if no route matches
      */
     public @Nullable Route route(String host, String path) {
         return routes.stream()
@@ -38,10 +39,10 @@
     }
 
     /**
-     * Finds a route by its name.
+     * Finds a route by name.
      *
-     * @param name the name
-     * @return the route, or null if this version has none of that name
+     * @param name the name of the route
+     * @return the route, or null if this version of the manifest has no route with that name
      */
     public @Nullable Route byName(String name) {
         return routes.stream().filter(route -> route.name().equals(name)).findFirst().orElse(null);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Resources.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Resources.java
@@ -3,23 +3,24 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 
 /**
- * An amount of processors, memory and accelerators.
+ * An amount of processor time, memory and accelerators, such as the capacity of a worker or the
+ * demand of a task. Stored as JSON under the names of the components.
  *
  * @param cpuMillicores processors, in thousandths of a core
  * @param memoryMb memory, in megabytes
- * @param accelerators whole accelerators
+ * @param accelerators the number of accelerators; an accelerator is never shared
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
 public record Resources(long cpuMillicores, long memoryMb, long accelerators) {
 
-    /** Nothing. */
+    /** The empty amount: zero of each resource. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
     /**
-     * Adds an amount.
+     * Returns the sum of this amount and another.
      *
-     * @param other the amount
-     * @return the sum
+     * @param other the amount to add
+     * @return the sum of each resource
      */
     public Resources plus(Resources other) {
         return new Resources(
@@ -29,10 +30,10 @@
     }
 
     /**
-     * Subtracts an amount.
+     * Returns the difference between this amount and another.
      *
-     * @param other the amount
-     * @return the difference, negative where the other amount is larger
+     * @param other the amount to subtract
+     * @return the difference of each resource, negative where the other amount is larger
      */
     public Resources minus(Resources other) {
         return new Resources(
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Tells whether this amount covers another in each dimension.
+     * Returns whether another amount fits into this one.
      *
      * @param other the other amount
-     * @return whether it does
+     * @return true if no resource of the other amount exceeds that of this one
      */
     public boolean covers(Resources other) {
         return cpuMillicores >= other.cpuMillicores
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Route.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Route.java
@@ -1,17 +1,21 @@
 package org.damasktiller.scheduler.model;
 
 /**
- * A queue that takes submissions.
+ * A queue that accepts submissions, as configured in the manifest.
  *
- * @param name its name
- * @param host the host that callers name
- * @param pathPrefix the beginning of the paths that belong to it
- * @param service the service whose workers run its tasks
- * @param priority its rank, 0 the most urgent
- * @param maximumAttempts after how many failed runs of a task a submission has failed
- * @param extension the factor on the chain of work in the objective of a submission
- * @param targetLatencyMillis what the objective adds to the chain, in milliseconds
- * @param adviceNeeded whether only workers that the advice service names may run its steps
+ * <p>The latency objective of a submission is the estimated duration of its critical path times
+ * {@code extension}, plus {@code targetLatencyMillis}.
+ *
+ * @param name the name of the queue
+ * @param host the host to which callers send their requests
+ * @param pathPrefix the prefix of the request paths that belong to the queue
+ * @param service the service whose workers run the tasks
+ * @param priority the rank of the queue; 0 is the most urgent
+ * @param maximumAttempts the number of failed runs of a task after which its submission fails
+ * @param extension the factor by which the latency objective stretches the critical path
+ * @param targetLatencyMillis the time that the latency objective adds to the stretched critical
+ *     path, in milliseconds
+ * @param adviceNeeded whether a step may run only on workers that the advice service allows
  */
 public record Route(
         String name,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/StepSpec.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/StepSpec.java
@@ -4,24 +4,29 @@
 import java.util.List;
 
 /**
- * Describes a step of a submission: a number of equal tasks.
+ * A step of a submission: a number of identical tasks. Stored as JSON under the names of the
+ * components.
  *
  * @param count the number of tasks
- * @param need what each task reserves on a worker
- * @param estimateMillis the declared duration of a task, a rough figure, in milliseconds
- * @param after the numbers of the earlier steps that must be done first
- * @param checkpointing whether tasks save their progress
- * @param gang whether the tasks work only all together
- * @param sameRack whether a gang is slower across racks
- * @param requiredLabel the label that the worker must have, empty for none
- * @param dataRack the rack where the step's data is, empty for none
- * @param maximumPerWorker how many tasks of the step one worker may run, zero for any number
- * @param copiesAllowed whether several runs of one task may be active
- * @param lasting whether the tasks run until the submission is cancelled
- * @param image what the tasks run, empty for unknown; tasks of one image behave alike
- * @param targetMillis the response time that a lasting task must keep, in milliseconds, or zero
- * @param filling whether the tasks use only processors that others leave unused
- * @param mayMiss how many lasting tasks may be away at once through actions of the scheduler
+ * @param need the resources that each task needs
+ * @param estimateMillis the rough duration of a task as declared by the caller, in milliseconds
+ * @param after the numbers of the earlier steps that must complete before this one starts
+ * @param checkpointing whether the tasks save their progress, so that another run can resume it
+ * @param gang whether the tasks make progress only while all of them run
+ * @param sameRack whether a gang runs more slowly when it spans several racks
+ * @param requiredLabel the label that a worker must have to run the tasks, empty if any worker may
+ * @param dataRack the rack that holds the step's data, empty if there is none
+ * @param maximumPerWorker the maximum number of tasks of the step on one worker, 0 for no limit
+ * @param copiesAllowed whether several runs of the same task may be active at the same time
+ * @param lasting whether the tasks are long-running: they run until the submission is cancelled
+ * @param image the program that the tasks run, empty if unknown; tasks of the same image are
+ *     assumed to affect others in the same way
+ * @param targetMillis the response time that a long-running task has to keep, in milliseconds, or 0
+ *     if it does not serve users
+ * @param filling whether the tasks are fillers, which use only processor time that other tasks
+ *     leave unused
+ * @param mayMiss the number of the step's long-running tasks that may be interrupted at the same
+ *     time by actions of the scheduler
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
 public record StepSpec(
@@ -42,7 +47,7 @@
         boolean filling,
         int mayMiss) {
 
-    /** Replaces fields left out of a stored record by their defaults. */
+    /** Sets the defaults of components that a stored record omits, and copies the list. */
     @SuppressWarnings("ConstantConditions")
     public StepSpec {
         after = after == null ? List.of() : List.copyOf(after);
@@ -52,19 +57,19 @@
     }
 
     /**
-     * Starts to build a step.
+     * Creates a builder with the mandatory values; everything else has its default.
      *
      * @param count the number of tasks
-     * @param need what each task reserves on a worker
-     * @return a builder of a step without conditions
+     * @param need the resources that each task needs
+     * @return a builder of a step without dependencies or placement constraints
      */
     public static StepSpecBuilder builder(int count, Resources need) {
         return new StepSpecBuilder(count, need);
     }
 
     /**
-     * Returns what a task takes of the room that a worker guards: a filling task reserves no
-     * processors.
+     * Returns the resources that each task reserves on its worker. A filler reserves memory and
+     * accelerators, but no processors.
      *
      * @return the reserved resources
      */
@@ -73,9 +78,10 @@
     }
 
     /**
-     * Tells whether the tasks serve users and have a response time to keep.
+     * Returns whether the tasks serve users, that is, run until cancelled and have a response time
+     * to keep.
      *
-     * @return whether they do
+     * @return true if they serve users
      */
     public boolean serving() {
         return lasting && targetMillis > 0;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/StepSpecBuilder.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/StepSpecBuilder.java
@@ -2,62 +2,65 @@
 
 import java.util.List;
 
-/** Builds a step; every setter returns the builder, and what is not set has no effect. */
+/**
+ * Builds a {@link StepSpec}. Values that are not set keep a default that adds no constraint. Each
+ * setter returns the builder.
+ */
 public final class StepSpecBuilder {
 
     /** The number of tasks. */
     private final int count;
 
-    /** What each task reserves on a worker. */
+    /** The resources that each task needs. */
     private final Resources need;
 
-    /** The declared duration of a task, in milliseconds. */
+    /** The rough duration of a task as declared by the caller, in milliseconds. */
     private long estimateMillis;
 
-    /** The numbers of the earlier steps that must be done first. */
+    /** The numbers of the earlier steps that must complete before this one starts. */
     private List<Integer> after = List.of();
 
-    /** Whether tasks save their progress. */
+    /** Whether the tasks save their progress, so that another run can resume it. */
     private boolean checkpointing;
 
-    /** Whether the tasks work only all together. */
+    /** Whether the tasks make progress only while all of them run. */
     private boolean gang;
 
-    /** Whether a gang is slower across racks. */
+    /** Whether a gang runs more slowly when it spans several racks. */
     private boolean sameRack;
 
-    /** The label that the worker must have, empty for none. */
+    /** The label that a worker must have to run the tasks, empty if any worker may. */
     private String requiredLabel = "";
 
-    /** The rack where the step's data is, empty for none. */
+    /** The rack that holds the step's data, empty if there is none. */
     private String dataRack = "";
 
-    /** How many tasks of the step one worker may run, zero for any number. */
+    /** The maximum number of tasks of the step on one worker, 0 for no limit. */
     private int maximumPerWorker;
 
-    /** Whether several runs of one task may be active. */
+    /** Whether several runs of the same task may be active at the same time. */
     private boolean copiesAllowed;
 
     /** Whether the tasks run until the submission is cancelled. */
     private boolean lasting;
 
-    /** What the tasks run, empty for unknown. */
+    /** The program that the tasks run, empty if unknown. */
     private String image = "";
 
-    /** The response time that a lasting task must keep, in milliseconds, or zero. */
+    /** The response time that a long-running task has to keep, in milliseconds, or 0 for none. */
     private long targetMillis;
 
-    /** Whether the tasks use only processors that others leave unused. */
+    /** Whether the tasks use only processor time that other tasks leave unused. */
     private boolean filling;
 
-    /** How many lasting tasks may be away at once through actions of the scheduler. */
+    /** The number of long-running tasks that the scheduler may interrupt at the same time. */
     private int mayMiss;
 
     /**
-     * Creates a builder.
+     * Creates a builder with the mandatory values.
      *
      * @param count the number of tasks
-     * @param need what each task reserves on a worker
+     * @param need the resources that each task needs
      */
     StepSpecBuilder(int count, Resources need) {
         this.count = count;
@@ -65,10 +68,10 @@
     }
 
     /**
-     * Sets the declared duration of a task, in milliseconds.
+     * Sets the rough duration of a task as declared by the caller.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the duration, in milliseconds
+     * @return this builder
      */
     public StepSpecBuilder estimateMillis(long value) {
         estimateMillis = value;
@@ -76,10 +79,10 @@
     }
 
     /**
-     * Sets the numbers of the earlier steps that must be done first.
+     * Sets the earlier steps that must complete before this one starts.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the numbers of the steps
+     * @return this builder
      */
     public StepSpecBuilder after(List<Integer> value) {
         after = value;
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Sets whether tasks save their progress.
+     * Sets whether the tasks save their progress, so that another run can resume it.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if they do
+     * @return this builder
      */
     public StepSpecBuilder checkpointing(boolean value) {
         checkpointing = value;
@@ -98,10 +101,10 @@
     }
 
     /**
-     * Sets whether the tasks work only all together.
+     * Sets whether the tasks make progress only while all of them run.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if they form a gang
+     * @return this builder
      */
     public StepSpecBuilder gang(boolean value) {
         gang = value;
@@ -109,10 +112,10 @@
     }
 
     /**
-     * Sets whether a gang is slower across racks.
+     * Sets whether a gang runs more slowly when it spans several racks.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if it should share a rack
+     * @return this builder
      */
     public StepSpecBuilder sameRack(boolean value) {
         sameRack = value;
@@ -120,10 +123,10 @@
     }
 
     /**
-     * Sets the label that the worker must have, empty for none.
+     * Sets the label that a worker must have to run the tasks.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the label, empty if any worker may
+     * @return this builder
      */
     public StepSpecBuilder requiredLabel(String value) {
         requiredLabel = value;
@@ -131,10 +134,10 @@
     }
 
     /**
-     * Sets the rack where the step's data is, empty for none.
+     * Sets the rack that holds the step's data.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the rack, empty if there is none
+     * @return this builder
      */
     public StepSpecBuilder dataRack(String value) {
         dataRack = value;
@@ -142,10 +145,10 @@
     }
 
     /**
-     * Sets how many tasks of the step one worker may run, zero for any number.
+     * Sets the maximum number of tasks of the step on one worker.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the number, 0 for no limit
+     * @return this builder
      */
     public StepSpecBuilder maximumPerWorker(int value) {
         maximumPerWorker = value;
@@ -153,10 +156,10 @@
     }
 
     /**
-     * Sets whether several runs of one task may be active.
+     * Sets whether several runs of the same task may be active at the same time.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if they may
+     * @return this builder
      */
     public StepSpecBuilder copiesAllowed(boolean value) {
         copiesAllowed = value;
@@ -166,8 +169,8 @@
     /**
      * Sets whether the tasks run until the submission is cancelled.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if they are long-running
+     * @return this builder
      */
     public StepSpecBuilder lasting(boolean value) {
         lasting = value;
@@ -175,10 +178,10 @@
     }
 
     /**
-     * Sets what the tasks run, empty for unknown.
+     * Sets the program that the tasks run.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the name of the image, empty if unknown
+     * @return this builder
      */
     public StepSpecBuilder image(String value) {
         image = value;
@@ -186,10 +189,10 @@
     }
 
     /**
-     * Sets the response time that a lasting task must keep, in milliseconds, or zero.
+     * Sets the response time that a long-running task has to keep.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the time, in milliseconds, or 0 for none
+     * @return this builder
      */
     public StepSpecBuilder targetMillis(long value) {
         targetMillis = value;
@@ -197,10 +200,10 @@
     }
 
     /**
-     * Sets whether the tasks use only processors that others leave unused.
+     * Sets whether the tasks use only processor time that other tasks leave unused.
      *
-     * @param value the value
-     * @return the builder
+     * @param value true if they are fillers
+     * @return this builder
      */
     public StepSpecBuilder filling(boolean value) {
         filling = value;
@@ -208,10 +211,10 @@
     }
 
     /**
-     * Sets how many lasting tasks may be away at once through actions of the scheduler.
+     * Sets how many long-running tasks the scheduler may interrupt at the same time.
      *
-     * @param value the value
-     * @return the builder
+     * @param value the number of tasks
+     * @return this builder
      */
     public StepSpecBuilder mayMiss(int value) {
         mayMiss = value;
@@ -219,7 +222,7 @@
     }
 
     /**
-     * Builds the step.
+     * Creates the step from the values set so far.
      *
      * @return the step
      */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Submission.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Submission.java
@@ -4,14 +4,17 @@
 import java.util.List;
 
 /**
- * What a caller asks to be run.
+ * A caller's request to run steps, either once and immediately or repeatedly on a schedule. Stored
+ * as JSON under the names of the components.
  *
- * @param id the caller's identifier, 16 hexadecimal digits
- * @param payload the text handed to every task, up to 4,000 bytes
- * @param steps the steps
- * @param firstDueUnixMillis when the first occurrence is due, in milliseconds since 1970, or zero
- * @param occurrences how many times the steps run on a schedule, zero for once and at once
- * @param intervalMillis the time between occurrences, in milliseconds
+ * @param id the identifier chosen by the caller, 16 hexadecimal digits
+ * @param payload the text passed to each task, at most 4,000 bytes
+ * @param steps the steps, numbered from 0 in this order
+ * @param firstDueUnixMillis when the first occurrence is due, in milliseconds since 1970, or 0 if
+ *     the submission has no schedule
+ * @param occurrences the number of times that the steps run on a schedule, or 0 to run them once
+ *     and immediately
+ * @param intervalMillis the time between two consecutive occurrences, in milliseconds
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
 public record Submission(
@@ -22,7 +25,7 @@
         int occurrences,
         long intervalMillis) {
 
-    /** Copies the steps. */
+    /** Sets the default of a payload that a stored record omits, and copies the steps. */
     @SuppressWarnings("ConstantConditions")
     public Submission {
         payload = payload == null ? "" : payload;
@@ -30,18 +33,18 @@
     }
 
     /**
-     * Tells whether the steps run on a schedule.
+     * Returns whether the steps run on a schedule.
      *
-     * @return whether they do
+     * @return true if the submission has a schedule, false if it runs once and immediately
      */
     public boolean scheduled() {
         return occurrences > 0;
     }
 
     /**
-     * Tells whether a step lasts until the submission is cancelled.
+     * Returns whether any step is long-running, so that the submission runs until it is cancelled.
      *
-     * @return whether one does
+     * @return true if at least one step is long-running
      */
     public boolean lasting() {
         return steps.stream().anyMatch(StepSpec::lasting);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionRecord.java
@@ -1,11 +1,12 @@
 package org.damasktiller.scheduler.model;
 
 /**
- * What is stored under a submission's identifier alone: which cell has it, and its state.
+ * The location and state of a submission, stored under the submission's identifier so that it can
+ * be found without knowing the cell. Stored as JSON under the names of the components.
  *
  * @param cell the name of the cell whose owner runs the submission
- * @param route the name of the route that took it
- * @param state the state; RUNNING stands for any state that is not final
+ * @param route the name of the route that accepted the submission
+ * @param state the state; RUNNING represents any state that is not final
  * @param changedUnixMillis when the state was written, in milliseconds since 1970
  */
 public record SubmissionRecord(
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionState.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionState.java
@@ -1,22 +1,22 @@
 package org.damasktiller.scheduler.model;
 
-/** The states of a submission that callers see. */
+/** The state of a submission as reported to callers. Stored and sent under the constant's name. */
 public enum SubmissionState {
-    /** No task has started. */
+    /** The submission is accepted, and no task has started. */
     QUEUED,
-    /** A task has started. */
+    /** At least one task has started, and the submission has not ended. */
     RUNNING,
-    /** Every task has ended well. */
+    /** All tasks completed successfully. */
     SUCCEEDED,
-    /** A task used up its attempts. */
+    /** A task failed as often as its route allows. */
     FAILED,
-    /** The caller cancelled it. */
+    /** The caller cancelled the submission. */
     CANCELLED;
 
     /**
-     * Tells whether the state can change no more.
+     * Returns whether the submission has ended, so that the state no longer changes.
      *
-     * @return whether it is final
+     * @return true if the state is final
      */
     public boolean isFinal() {
         return this != QUEUED && this != RUNNING;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/TaskId.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/TaskId.java
@@ -5,30 +5,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Names a task of a submission.
+ * Identifies a task of a submission. The text form is used in calls to workers and in the log.
  *
- * @param submission the submission's identifier
- * @param occurrence the number of the occurrence, from 0
- * @param step the number of the step, from 0
+ * @param submission the identifier of the submission
+ * @param occurrence the number of the scheduled occurrence, from 0
+ * @param step the number of the step in the submission, from 0
  * @param index the number of the task in its step, from 0
  */
 public record TaskId(String submission, int occurrence, int step, int index) {
 
-    /** The written form: the four parts joined by dots. */
+    /** The text form: the four components separated by dots. */
     private static final Pattern FORM =
             Pattern.compile("([^.]+)\\.(\\d{1,9})\\.(\\d{1,9})\\.(\\d{1,9})");
 
-    /** The group of the step. */
+    /** The group of {@link #FORM} that captures the step. */
     private static final int STEP_GROUP = 3;
 
-    /** The group of the index. */
+    /** The group of {@link #FORM} that captures the index. */
     private static final int INDEX_GROUP = 4;
 
     /**
-     * Reads the written form.
+     * Parses the text form.
      *
-     * @param text the text
-     * @return the name, or null if the text is no such name
+     * @param text the text form, as returned by {@link #toString}
+     * @return the identifier, or null if the text does not have this form
      */
     public static @Nullable TaskId parse(String text) {
         Matcher matcher = FORM.matcher(text);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/WorkerEntry.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/WorkerEntry.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * A worker as it has registered itself.
+ * The registration of a worker in the platform's store.
  *
- * @param id the worker's identifier, kept when it restarts in place
- * @param service the service that it belongs to
- * @param address where it takes orders
- * @param zone its availability zone
- * @param draining whether it is about to leave
- * @param remainingMillis the least time until it leaves while draining, in milliseconds
- * @param capacity what it has
- * @param labels its kind and its rack
- * @param bornUnixMillis when this boot began, in milliseconds since 1970, or zero if not told
+ * @param id the identifier of the worker, which stays the same when it restarts in place
+ * @param service the service that the worker belongs to
+ * @param address the address at which the worker accepts calls
+ * @param zone the availability zone of the worker
+ * @param draining whether the worker is about to leave and must not get new work
+ * @param remainingMillis the minimum time until a draining worker leaves, in milliseconds
+ * @param capacity the total resources of the worker
+ * @param labels the labels of the worker: its kind and its rack
+ * @param bornUnixMillis when the worker booted, in milliseconds since 1970, or 0 if not reported
  */
 public record WorkerEntry(
         String id,
@@ -27,7 +27,7 @@
         List<String> labels,
         long bornUnixMillis) {
 
-    /** Copies the labels. */
+    /** Makes an immutable copy of the labels. */
     public WorkerEntry {
         labels = List.copyOf(labels);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/package-info.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/package-info.java
@@ -1,4 +1,4 @@
-/** The data of submissions, workers and the manifest in the terms of this project. */
+/** Data types of submissions, tasks, runs, workers and the operator's manifest. */
 @NullMarked
 package org.damasktiller.scheduler.model;
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceCalls.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceCalls.java
@@ -4,22 +4,25 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Calls to the service that knows which workers may run the steps of some queues. */
+/**
+ * Client of the advice service, which decides which workers may run the steps of some queues and
+ * issues a ticket for each of them.
+ */
 @FunctionalInterface
 public interface AdviceCalls {
 
-    /** Stands for a deployment without the service. */
+    /** The client of a deployment without an advice service: it never gets an answer. */
     AdviceCalls NONE =
             (step, workers, answer) ->
                     answer.accept(
                             new AdviceReply(false, Map.of(), 0, "there is no advice service"));
 
     /**
-     * Asks which workers may run a step.
+     * Requests tickets for the workers that may run a step.
      *
      * @param step the name of the step
-     * @param workers the workers, at most 100
-     * @param answer takes the answer
+     * @param workers the identifiers of the candidate workers, at most 100
+     * @param answer receives the reply
      */
     void ask(String step, List<String> workers, Consumer<AdviceReply> answer);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceReply.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceReply.java
@@ -3,17 +3,18 @@
 import java.util.Map;
 
 /**
- * The answer of the advice service.
+ * The reply to a request to the advice service.
  *
- * @param answered whether it answered; if not, the question has to be asked again
- * @param tickets the tickets of the workers that may run the step, by worker
+ * @param answered whether the service answered; if not, the request has to be repeated
+ * @param tickets the tickets by the identifier of the worker; workers that may not run the step are
+ *     absent
  * @param validMillis how long the tickets are valid, in milliseconds
- * @param reason what the client saw instead of an answer, for the log
+ * @param reason why there is no answer, for the log; empty if the service answered
  */
 public record AdviceReply(
         boolean answered, Map<String, String> tickets, long validMillis, String reason) {
 
-    /** Copies the tickets. */
+    /** Makes an immutable copy of the tickets. */
     public AdviceReply {
         tickets = Map.copyOf(tickets);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/Commit.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/Commit.java
@@ -5,26 +5,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A transaction of the store: all of its changes are made if each condition holds, else none. */
+/**
+ * A transaction of the store. The store applies all writes and removals atomically if every
+ * expected revision matches, and none of them otherwise.
+ */
 public final class Commit {
 
-    /** The revision that each key must have. */
+    /** The expected revisions by key, in the order in which they were added. */
     private final Map<String, Long> expected = new LinkedHashMap<>();
 
-    /** The values to write. */
+    /** The values to write by key, in the order in which they were added. */
     private final Map<String, Write> writes = new LinkedHashMap<>();
 
-    /** The keys to remove. */
+    /** The keys to remove, in the order in which they were added. */
     private final Set<String> removals = new LinkedHashSet<>();
 
     /** Creates an empty transaction. */
     public Commit() {}
 
     /**
-     * Adds a condition.
+     * Adds the condition that a key has a certain revision.
      *
      * @param key the key
-     * @param revision the revision that the key must have, zero if it must not exist
+     * @param revision the expected revision, or 0 if the key must not exist
      * @return this transaction
      */
     public Commit expect(String key, long revision) {
@@ -33,7 +36,7 @@
     }
 
     /**
-     * Adds a value that stays.
+     * Adds a write of a value that is not bound to a lease.
      *
      * @param key the key
      * @param value the value
@@ -44,11 +47,11 @@
     }
 
     /**
-     * Adds a value that goes when a lease ends.
+     * Adds a write of a value that the store removes when a lease ends.
      *
      * @param key the key
      * @param value the value
-     * @param lease the number of the lease, zero for none
+     * @param lease the identifier of the lease, or 0 for none
      * @return this transaction
      */
     public Commit put(String key, byte[] value, long lease) {
@@ -57,7 +60,7 @@
     }
 
     /**
-     * Adds a removal.
+     * Adds the removal of a key.
      *
      * @param key the key
      * @return this transaction
@@ -68,9 +71,9 @@
     }
 
     /**
-     * Returns the conditions.
+     * Returns the conditions of the transaction.
      *
-     * @return the revision that each key must have
+     * @return the expected revisions by key, 0 for a key that must not exist
      */
     public Map<String, Long> expected() {
         return expected;
@@ -95,10 +98,10 @@
     }
 
     /**
-     * A value to write.
+     * A value to write, with the lease that it is bound to.
      *
      * @param value the value
-     * @param lease the number of the lease, zero for none
+     * @param lease the identifier of the lease, or 0 for none
      */
     @SuppressWarnings("ArrayRecordComponent")
     public record Write(byte[] value, long lease) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/CommitReply.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/CommitReply.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What the store says of a transaction.
+ * The reply of the store to a transaction.
  *
- * @param revision the revision of the changes, zero if none were made
- * @param current the current items of the conditions that may not hold; keys that do not exist are
- *     left out
+ * @param revision the revision of the changes, or 0 if nothing was changed
+ * @param current after a conflict, the current items of the keys that have conditions; keys that do
+ *     not exist are omitted
  */
 public record CommitReply(long revision, List<StoreItem> current) {
 
-    /** Copies the items. */
+    /** Makes an immutable copy of the items. */
     public CommitReply {
         current = List.copyOf(current);
     }
@@ -20,7 +20,7 @@
      * Returns the current revision of a key after a conflict.
      *
      * @param key the key
-     * @return its revision, zero if it does not exist
+     * @return the revision, or {@link StoreItem#ABSENT} if the key does not exist
      */
     public long currentRevision(String key) {
         return current.stream()
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/HoldOrder.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/HoldOrder.java
@@ -1,13 +1,15 @@
 package org.damasktiller.scheduler.port;
 
 /**
- * An order to lengthen a worker's lease and to list what it runs.
+ * A request that renews a worker's lease, acknowledges ended runs and asks for the worker's runs.
  *
- * @param leaseUntilMillis the new end of the lease on the worker's clock, in milliseconds, or
- *     {@link WorkerCalls#NO_LEASE}
- * @param fencingToken the generation of the cell's owner
- * @param acknowledged the number of the last end that the worker may forget
- * @param waitMillis how long the answer may wait for an end, in milliseconds
+ * @param leaseUntilMillis when the lease expires on the worker's clock, in milliseconds, or {@link
+ *     WorkerCalls#NO_LEASE} to leave the lease unchanged
+ * @param fencingToken the generation of the cell's owner, used as a fencing token
+ * @param acknowledged the sequence number of the last ended run that the worker may discard; 0
+ *     acknowledges none
+ * @param waitMillis how long the worker may delay the reply until a run ends, in milliseconds; 0
+ *     for an immediate reply
  */
 public record HoldOrder(
         long leaseUntilMillis, long fencingToken, long acknowledged, long waitMillis) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/PlatformFormats.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/PlatformFormats.java
@@ -4,37 +4,40 @@
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.jspecify.annotations.Nullable;
 
-/** Where the platform keeps its own records in the store, and how they are read. */
+/**
+ * Locates and decodes the records that the platform itself keeps in the store: the entries of the
+ * workers and the operator's manifest.
+ */
 public interface PlatformFormats {
 
     /**
-     * Returns the prefix of the keys of the workers' entries.
+     * Returns the prefix of the keys under which workers register.
      *
-     * @return the prefix
+     * @return the prefix, to which the identifier of a worker is appended
      */
     String workersPrefix();
 
     /**
-     * Returns the key of the manifest.
+     * Returns the key under which the operator's manifest is stored.
      *
      * @return the key
      */
     String manifestKey();
 
     /**
-     * Reads the entry of a worker.
+     * Decodes the entry of a worker.
      *
-     * @param id the identifier, from the key
+     * @param id the identifier of the worker, taken from the key
      * @param value the stored bytes
-     * @return the entry, or null if the bytes are no entry of a worker that can be used
+     * @return the entry, or null if the bytes are not a valid entry
      */
     @Nullable WorkerEntry decodeWorker(String id, byte[] value);
 
     /**
-     * Reads a manifest.
+     * Decodes a manifest.
      *
      * @param value the stored bytes
-     * @return the manifest, or null if the bytes are no manifest
+     * @return the manifest, or null if the bytes are not a valid manifest
      */
     @Nullable Manifest decodeManifest(byte[] value);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/ProcessRuntime.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/ProcessRuntime.java
@@ -1,27 +1,27 @@
 package org.damasktiller.scheduler.port;
 
-/** The clock and the timers of the process; tests pause and advance them. */
+/** The clocks and timers of the process. Tests replace them with a clock that they advance. */
 public interface ProcessRuntime {
 
     /**
-     * Returns the steady clock.
+     * Returns the time of a monotonic clock.
      *
-     * @return the time since an arbitrary moment, in milliseconds
+     * @return the time since an arbitrary origin, in milliseconds
      */
     long nowMillis();
 
     /**
-     * Returns the time of day, which may jump.
+     * Returns the wall-clock time, which may jump forward or backward.
      *
-     * @return milliseconds since 1970
+     * @return the time since 1970, in milliseconds
      */
     long unixMillis();
 
     /**
-     * Runs an action later on the thread of the event loop.
+     * Schedules an action on the thread of the event loop.
      *
      * @param delayMillis the delay, in milliseconds
-     * @param action the action
+     * @param action the action to run after the delay
      */
     void schedule(long delayMillis, Runnable action);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreChanges.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreChanges.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The changes that a watch returned.
+ * The changes returned by a watch.
  *
- * @param events the changes, in order
- * @param storeRevision the revision from which to go on
+ * @param events the changes, in the order of their revisions
+ * @param storeRevision the revision after which the next watch continues
  */
 public record StoreChanges(List<StoreEvent> events, long storeRevision) {
 
-    /** Copies the events. */
+    /** Makes an immutable copy of the events. */
     public StoreChanges {
         events = List.copyOf(events);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreEvent.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreEvent.java
@@ -3,10 +3,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A change of an item of the store.
+ * A write or removal of an item of the store.
  *
- * @param key the key
+ * @param key the key of the item
  * @param revision the revision of the change
- * @param item the item as it was written, or null if it was removed
+ * @param item the item as written, or null if it was removed
  */
 public record StoreEvent(String key, long revision, @Nullable StoreItem item) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreItem.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreItem.java
@@ -1,16 +1,16 @@
 package org.damasktiller.scheduler.port;
 
 /**
- * An item of the store.
+ * A key of the store with its value and revisions.
  *
- * @param key its key
- * @param value its value
- * @param revision the revision of its last change
- * @param created the revision of its creation
+ * @param key the key
+ * @param value the stored bytes
+ * @param revision the revision of the last write
+ * @param created the revision of the write that created the item
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoreItem(String key, byte[] value, long revision, long created) {
 
-    /** The revision that stands for a key that does not exist. */
+    /** The revision that represents a key that does not exist. */
     public static final long ABSENT = 0;
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreLease.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreLease.java
@@ -1,9 +1,9 @@
 package org.damasktiller.scheduler.port;
 
 /**
- * A lease of the store; keys written under it are removed when it ends.
+ * A lease of the store. The store removes the keys bound to a lease when the lease ends.
  *
- * @param id its number
- * @param lifeMillis how long it lives from the arrival of a renewal, in milliseconds
+ * @param id the identifier of the lease
+ * @param lifeMillis the time to live, counted from the arrival of a renewal, in milliseconds
  */
 public record StoreLease(long id, long lifeMillis) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StorePage.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StorePage.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A page of items, in the order of their keys.
+ * A page of a listing.
  *
- * @param items the items
- * @param more whether items follow after the last one
- * @param storeRevision the revision of the store at the time of the answer
+ * @param items the items, ordered by key
+ * @param more whether there are further items after this page
+ * @param storeRevision the revision of the store when the page was read
  */
 public record StorePage(List<StoreItem> items, boolean more, long storeRevision) {
 
-    /** Copies the items. */
+    /** Makes an immutable copy of the items. */
     public StorePage {
         items = List.copyOf(items);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreResult.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreResult.java
@@ -3,20 +3,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The answer to a call to the store.
+ * The outcome of a call to the store.
  *
- * @param status how the call ended
- * @param value what the store returned, null where it returned nothing
- * @param reason what the client saw, for the log
- * @param <T> the type of what is returned
+ * @param status whether the call was executed, and if not, why
+ * @param value the returned value, or null if there is none
+ * @param reason the cause of a failure, for the log; empty on success
+ * @param <T> the type of the returned value
  */
 public record StoreResult<T>(StoreStatus status, @Nullable T value, String reason) {
 
     /**
-     * Makes the result of a call that was carried out.
+     * Creates the result of a call that was executed.
      *
-     * @param value what the store returned
-     * @param <T> the type of what is returned
+     * @param value the returned value
+     * @param <T> the type of the returned value
      * @return the result
      */
     public static <T> StoreResult<T> ok(T value) {
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Makes the result of a call that was not carried out or got no answer.
+     * Creates the result of a call that was not executed or got no answer.
      *
-     * @param status how the call ended
-     * @param reason what the client saw
-     * @param <T> the type of what would have been returned
+     * @param status why the call failed
+     * @param reason the cause, for the log
+     * @param <T> the type of the value that a successful call returns
      * @return the result
      */
     public static <T> StoreResult<T> failed(StoreStatus status, String reason) {
@@ -36,15 +36,15 @@
     }
 
     /**
-     * Returns the value of a call that was carried out.
+     * Returns the value of a call that was executed.
      *
      * @return the value
-     * @throws IllegalStateException if the call returned nothing
+     * @throws IllegalStateException if the call returned no value
      */
     public T require() {
         T present = value;
         if (present == null) {
-            throw new IllegalStateException("the store returned nothing: " + status);
+            throw new IllegalStateException("the call to the store returned no value: " + status);
         }
         return present;
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreStatus.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreStatus.java
@@ -1,17 +1,17 @@
 package org.damasktiller.scheduler.port;
 
-/** How a call to the store ended. */
+/** The status of a call to the store. Logged under the constant's name. */
 public enum StoreStatus {
-    /** The call was carried out. */
+    /** The call was executed. */
     OK,
     /** The item or the lease does not exist. */
     ABSENT,
-    /** A condition of the transaction did not hold; nothing was changed. */
+    /** An expected revision of the transaction did not match; nothing was changed. */
     CONFLICT,
-    /** The history asked for is no longer kept. */
+    /** The store no longer has the requested history of changes. */
     COMPACTED,
-    /** The store refused the call; nothing was done. */
+    /** The store refused the call or could not be reached; the call was not executed. */
     REFUSED,
-    /** No answer came; the call may be carried out, also later. */
+    /** No answer arrived; the call may have been executed or may still be executed later. */
     UNKNOWN
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerCalls.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerCalls.java
@@ -4,31 +4,34 @@
 import org.damasktiller.scheduler.model.TaskId;
 
 /**
- * Calls to workers. Each call answers once, on the thread of the event loop, within the client's
- * timeout.
+ * Client of the workers. Each call invokes its consumer exactly once, on the thread of the event
+ * loop and within the client's timeout.
+ *
+ * <p>Each call carries the generation of the cell's owner as a fencing token. A worker refuses
+ * calls whose token is lower than the highest that it has seen.
  */
 public interface WorkerCalls {
 
-    /** Stands for a lease that a call leaves as it is. */
+    /** The value of {@link HoldOrder#leaseUntilMillis} that leaves the lease unchanged. */
     long NO_LEASE = -1;
 
     /**
-     * Starts a run.
+     * Starts a run. Repeating the call for a run that is active has no effect.
      *
      * @param worker the worker
-     * @param order the order
-     * @param answer takes the reply
+     * @param order the run to start
+     * @param answer receives the reply
      */
     void start(WorkerAddress worker, StartOrder order, Consumer<WorkerReply> answer);
 
     /**
-     * Stops a run; one that has not arrived yet is refused from then on.
+     * Stops a run. If its start has not reached the worker yet, the worker will refuse that start.
      *
      * @param worker the worker
      * @param task the task
      * @param run the number of the run
      * @param fencingToken the generation of the cell's owner
-     * @param answer takes the reply
+     * @param answer receives the reply
      */
     void stop(
             WorkerAddress worker,
@@ -38,23 +41,24 @@
             Consumer<WorkerReply> answer);
 
     /**
-     * Lengthens the lease and asks what the worker runs.
+     * Renews the lease, acknowledges ended runs and asks for the worker's runs.
      *
      * @param worker the worker
-     * @param order the lease, the ends acknowledged and how long to wait for an end
-     * @param answer takes the reply with the inventory
+     * @param order the lease, the acknowledgement and how long to wait for a run to end
+     * @param answer receives the reply with the inventory
      */
     void hold(WorkerAddress worker, HoldOrder order, Consumer<WorkerReply> answer);
 
     /**
-     * Sets the share at which a run is let work.
+     * Limits the processor time of a run, so that it does not slow other tasks of the worker.
      *
      * @param worker the worker
      * @param task the task
      * @param run the number of the run
-     * @param percent the share, 0 to 100
+     * @param percent the share of the task's processor demand that the run may use, 0 to 100; 0
+     *     pauses the run
      * @param fencingToken the generation of the cell's owner
-     * @param answer takes the reply
+     * @param answer receives the reply
      */
     void pace(
             WorkerAddress worker,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerReply.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerReply.java
@@ -4,14 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The answer of a worker.
+ * The reply of a worker to a call.
  *
- * @param status how the call ended
- * @param clockMillis the worker's clock at the time of the answer, in milliseconds, negative if not
- *     told
- * @param bornUnixMillis when the answering boot began, in milliseconds since 1970, zero if not told
- * @param inventory what the worker runs, null unless it was asked
- * @param reason what the client saw, for the log
+ * @param status whether the call was executed, and if not, why
+ * @param clockMillis the worker's clock when it replied, in milliseconds, negative if not reported
+ * @param bornUnixMillis when the replying worker booted, in milliseconds since 1970, or 0 if not
+ *     reported
+ * @param inventory the worker's runs, or null if the call does not ask for them
+ * @param reason a description of the outcome, for the log
  */
 public record WorkerReply(
         WorkerStatus status,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerStatus.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerStatus.java
@@ -1,25 +1,28 @@
 package org.damasktiller.scheduler.port;
 
-/** How a call to a worker ended. */
+/** The status of a call to a worker. Logged under the constant's name. */
 public enum WorkerStatus {
-    /** The call was carried out. */
+    /** The call was executed. */
     OK,
-    /** The worker has seen a higher fencing token; nothing was done. */
+    /** The worker has seen a higher fencing token; the call was not executed. */
     FENCED,
-    /** The run is not higher than one that was stopped or ended there; nothing was done. */
+    /**
+     * A run of the same task with the same or a higher number has already ended or been stopped on
+     * the worker; the call was not executed.
+     */
     OLD_RUN,
-    /** The lease that the call names has already expired; nothing was done. */
+    /** The requested lease has already expired on the worker's clock; the call was not executed. */
     EXPIRED,
-    /** The task does not fit; nothing was done. */
+    /** The free resources of the worker are too small for the task; the call was not executed. */
     NO_ROOM,
-    /** The ticket is missing or no longer valid; nothing was done. */
+    /** The ticket is missing or no longer valid; the call was not executed. */
     NO_TICKET,
-    /** The worker is unhealthy and refused; nothing was done. */
+    /** The worker is unhealthy or could not be reached; the call was not executed. */
     BUSY,
-    /** Another worker answers at the address; nothing was done. */
+    /** Another worker uses the address; the call was not executed. */
     OTHER_WORKER,
-    /** The worker does not understand the call; nothing was done. */
+    /** The worker considers the call invalid; the call was not executed. */
     INVALID,
-    /** No answer came; the call may be carried out, also later. */
+    /** No answer arrived; the call may have been executed or may still be executed later. */
     UNKNOWN
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/package-info.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/package-info.java
@@ -1,4 +1,7 @@
-/** What the scheduler needs from the store, the workers and the runtime. */
+/**
+ * The interfaces through which the scheduler uses the platform: the store, the workers, the advice
+ * service, the log, and the clocks and timers.
+ */
 @NullMarked
 package org.damasktiller.scheduler.port;
 
