--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
@@ -71,7 +71,9 @@
             String id = item.submission().id();
             if (item.accepted() && item.cancelAsked() && active(item) > 0) {
                 found.add(id + ": runs on after its cancelling");
-            } else if (item.accepted() && !item.cancelAsked() && item.submission().lasting()) {
+            } else if (item.accepted()
+                    && !item.cancelAsked()
+                    && item.submission().hasLongRunningStep()) {
                 if (active(item) < tasks(item).size()) {
                     found.add(id + ": lasting tasks are not at work");
                 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -13,8 +13,8 @@
 import org.damasktiller.platform.record.PlatformRecords;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.ProcessRuntime;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.RunObserver;
 import org.damasktiller.standin.fleet.TaskBehaviour;
 import org.damasktiller.standin.fleet.WorkerModel;
@@ -136,7 +136,8 @@
     public void manifest(Manifest base, List<Route> routes) {
         manifestVersion++;
         Manifest next = new Manifest(manifestVersion, routes, base.services(), base.limits());
-        store.commit(new Commit().put(RECORDS.manifestKey(), OperatorFormats.manifest(next)));
+        store.commit(
+                new StoreTransaction().put(RECORDS.manifestKey(), OperatorFormats.manifest(next)));
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
@@ -5,8 +5,8 @@
 import org.damasktiller.platform.emulator.OperatorFormats;
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.WorkerEntry;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.ProcessRuntime;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.WorkerModel;
 import org.damasktiller.standin.metadata.StoreModel;
 
@@ -117,15 +117,15 @@
                         remainingMillis,
                         capacity,
                         List.of("standard", rack),
-                        model.bornUnixMillis());
-        store.commit(new Commit().put(key(), OperatorFormats.worker(entry)));
+                        model.bootUnixMillis());
+        store.commit(new StoreTransaction().put(key(), OperatorFormats.worker(entry)));
     }
 
     /** Ends it at once: what runs on it is over, its entry goes, and it answers nothing. */
     public void crash() {
         link.refuse(true);
         model.crash();
-        store.commit(new Commit().remove(key()));
+        store.commit(new StoreTransaction().remove(key()));
     }
 
     /** Begins a new life under the same identifier, unless it is alive. */
@@ -149,6 +149,6 @@
      * @return the key
      */
     private String key() {
-        return Rig.RECORDS.workersPrefix() + model.id();
+        return Rig.RECORDS.workerKeyPrefix() + model.id();
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
@@ -9,13 +9,13 @@
 import org.damasktiller.error.ErrorCode;
 import org.damasktiller.error.Outcome;
 import org.damasktiller.error.Step;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.damasktiller.scheduler.port.StorePage;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.store.KeyValueStore;
 import org.damasktiller.store.StoredValue;
 import org.damasktiller.store.SwapRequest;
@@ -63,7 +63,8 @@
 
     @Override
     public Promise<SwapResult> compareAndSwap(SwapRequest request) {
-        Commit commit = new Commit().expect(request.key(), request.expectedRevision());
+        StoreTransaction commit =
+                new StoreTransaction().expectRevision(request.key(), request.expectedRevision());
         byte[] value = request.value();
         if (value == null) {
             commit.remove(request.key());
@@ -100,7 +101,7 @@
                     for (StoreItem item : page.items()) {
                         values.add(new StoredValue(item.key(), item.value(), item.revision()));
                     }
-                    if (page.more() && !page.items().isEmpty()) {
+                    if (page.hasMore() && !page.items().isEmpty()) {
                         String last = page.items().get(page.items().size() - 1).key();
                         readPage(prefix, last, values, found);
                     } else {
@@ -120,7 +121,7 @@
         switch (result.status()) {
             case OK -> swapped.set(new SwapResult(true, result.require().revision(), null));
             case CONFLICT -> {
-                List<StoreItem> current = result.require().current();
+                List<StoreItem> current = result.require().currentItems();
                 StoreItem item = current.isEmpty() ? null : current.get(0);
                 swapped.set(new SwapResult(false, 0, value(item)));
             }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
@@ -29,12 +29,12 @@
     void rowsBecomeRoutes() {
         Manifest manifest = TableManifest.of(table, "workers", 3);
         assertThat(manifest.version(), is(3L));
-        assertThat(manifest.route("accounts.example", "/billing/1").name(), is("billing"));
-        assertThat(manifest.byName("billing").maximumAttempts(), is(1));
-        assertThat(manifest.byName("billing").targetLatencyMillis(), is(400L));
-        assertThat(manifest.byName("billing").priority(), is(2));
-        assertThat(manifest.byName("route-plan").priority(), is(0));
-        assertThat(manifest.byName("route-plan").maximumAttempts(), is(3));
+        assertThat(manifest.findRoute("accounts.example", "/billing/1").name(), is("billing"));
+        assertThat(manifest.findRouteByName("billing").maximumAttempts(), is(1));
+        assertThat(manifest.findRouteByName("billing").targetLatencyMillis(), is(400L));
+        assertThat(manifest.findRouteByName("billing").priority(), is(2));
+        assertThat(manifest.findRouteByName("route-plan").priority(), is(0));
+        assertThat(manifest.findRouteByName("route-plan").maximumAttempts(), is(3));
     }
 
     @Test
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -110,7 +110,7 @@
             return Promise.of(CallerAnswer.notCarriedOut("no manifest has been read yet"));
         }
         String path = request.getPath();
-        Route route = inForce.route(host(request), path);
+        Route route = inForce.findRoute(host(request), path);
         if (route == null) {
             log.log(
                     "route.missing",
@@ -131,7 +131,7 @@
         }
         CallerRequest call = new CallerRequest(id, route, inForce.version(), deadline(request));
         return switch (request.getMethod()) {
-            case POST -> submit(request, call, inForce.limits().bodyBytes());
+            case POST -> submit(request, call, inForce.limits().maxBodyBytes());
             case GET -> promise(answer -> questions.state(call, answer));
             case DELETE -> promise(answer -> questions.cancel(call, answer));
             default -> Promise.of(CallerAnswer.malformed("the method is not known here"));
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -8,7 +8,6 @@
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.model.SubmissionRecord;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
@@ -16,6 +15,7 @@
 import org.damasktiller.scheduler.port.StoreItem;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
  * Accepts submissions with one write, on condition that none is stored under the identifier. A
@@ -97,7 +97,7 @@
         private final String cell;
 
         /** The transaction. */
-        private final Commit commit;
+        private final StoreTransaction commit;
 
         /** Takes the answer. */
         private final Consumer<CallerAnswer> answer;
@@ -134,8 +134,8 @@
                             new AcceptedSubmission(submission, route, service, unixMillis));
             String key = CellKeys.submission(request.id());
             this.commit =
-                    new Commit()
-                            .expect(key, StoreItem.ABSENT)
+                    new StoreTransaction()
+                            .expectRevision(key, StoreItem.ABSENT)
                             .put(key, record)
                             .put(CellKeys.inbox(cell) + request.id(), accepted);
         }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
@@ -6,7 +6,6 @@
 import org.damasktiller.scheduler.cell.StoredValues;
 import org.damasktiller.scheduler.model.SubmissionRecord;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
@@ -15,6 +14,7 @@
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
  * Tells the state of submissions and cancels them. A submission is reported as unknown only after a
@@ -181,9 +181,9 @@
                         record.route(),
                         SubmissionState.CANCELLED,
                         runtime.unixMillis());
-        Commit commit =
-                new Commit()
-                        .expect(CellKeys.submission(request.id()), revision)
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.submission(request.id()), revision)
                         .put(CellKeys.submission(request.id()), StoredValues.write(cancelled))
                         .remove(CellKeys.inbox(record.cell()) + request.id());
         store.commit(commit, result -> onCancelled(request, answer, result));
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -5,7 +5,6 @@
 import org.damasktiller.scheduler.cell.HeadRecord;
 import org.damasktiller.scheduler.cell.OwnerRecord;
 import org.damasktiller.scheduler.cell.StoredValues;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
@@ -14,6 +13,7 @@
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
  * Wins the ownership of one cell: creates the owner's key and raises the generation in the head key
@@ -118,9 +118,9 @@
      * @param ownerRevision the revision of the owner's key
      */
     void resign(long ownerRevision) {
-        Commit commit =
-                new Commit()
-                        .expect(CellKeys.owner(cell), ownerRevision)
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.owner(cell), ownerRevision)
                         .remove(CellKeys.owner(cell));
         store.commit(
                 commit,
@@ -144,10 +144,10 @@
         long generation = head == null ? 1 : head.generation() + 1;
         long headRevision = item == null ? StoreItem.ABSENT : item.revision();
         OwnerRecord record = new OwnerRecord(identity.node(), identity.process(), generation);
-        Commit commit =
-                new Commit()
-                        .expect(CellKeys.owner(cell), ownerRevision)
-                        .expect(CellKeys.head(cell), headRevision)
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.owner(cell), ownerRevision)
+                        .expectRevision(CellKeys.head(cell), headRevision)
                         .put(CellKeys.owner(cell), StoredValues.write(record), session.lease())
                         .put(
                                 CellKeys.head(cell),
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
@@ -10,14 +10,14 @@
 import org.damasktiller.scheduler.cell.StoredValues;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.scheduler.port.AdviceCalls;
-import org.damasktiller.scheduler.port.Commit;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreStatus;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.StoreTransaction;
+import org.damasktiller.scheduler.port.WorkerClient;
 import org.jspecify.annotations.Nullable;
 
 /** The part of a process in the cluster: it shows that it lives and owns the cells that it wins. */
@@ -50,13 +50,13 @@
     private final ClusterParts parts;
 
     /** The calls to workers. */
-    private final WorkerCalls calls;
+    private final WorkerClient calls;
 
     /** The calls to the advice service. */
-    private final AdviceCalls advice;
+    private final AdviceClient advice;
 
     /** The platform's records. */
-    private final PlatformFormats formats;
+    private final PlatformRecordDecoder formats;
 
     /** The elections by cell. */
     private final Map<String, CellElection> elections = new HashMap<>();
@@ -94,9 +94,9 @@
             CellLayout layout,
             CellSettings settings,
             MetadataStore store,
-            WorkerCalls calls,
-            AdviceCalls advice,
-            PlatformFormats formats,
+            WorkerClient calls,
+            AdviceClient advice,
+            PlatformRecordDecoder formats,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.identity = identity;
@@ -232,7 +232,7 @@
                             parts.session().distanceMillis() <= NEAR_MILLIS);
             parts.store()
                     .commit(
-                            new Commit().put(key, StoredValues.write(record), lease),
+                            new StoreTransaction().put(key, StoredValues.write(record), lease),
                             result -> onAnnounced(result.status()));
         }
         long pause = announcedMillis < 0 ? CONSIDER_MILLIS : ANNOUNCE_MILLIS;
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
@@ -6,7 +6,7 @@
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreEvent;
 import org.damasktiller.scheduler.port.StoreItem;
@@ -19,7 +19,7 @@
     private static final long GROUPING_MILLIS = 20;
 
     /** The platform's records. */
-    private final PlatformFormats formats;
+    private final PlatformRecordDecoder formats;
 
     /** The log. */
     private final DecisionLog log;
@@ -47,7 +47,7 @@
      */
     public ManifestFollower(
             MetadataStore store,
-            PlatformFormats formats,
+            PlatformRecordDecoder formats,
             ProcessRuntime runtime,
             DecisionLog log,
             Consumer<Manifest> listener) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
@@ -77,7 +77,7 @@
     public void close() {
         closed = true;
         if (lease != NONE) {
-            store.endLease(
+            store.revokeLease(
                     lease,
                     result -> log.log("session.closed", "lease", lease, "status", result.status()));
         }
@@ -134,7 +134,7 @@
         }
         lease = result.require().id();
         answeredAtMillis = runtime.nowMillis();
-        log.log("session.began", "lease", lease, "lifeMillis", result.require().lifeMillis());
+        log.log("session.began", "lease", lease, "lifeMillis", result.require().ttlMillis());
         renew();
     }
 
@@ -144,7 +144,7 @@
             return;
         }
         long sent = runtime.nowMillis();
-        store.keepLease(lease, result -> onRenewed(result, sent));
+        store.renewLease(lease, result -> onRenewed(result, sent));
     }
 
     /**
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -33,7 +33,7 @@
 import org.damasktiller.platform.settings.SettingsReader;
 import org.damasktiller.scheduler.cell.CellLayout;
 import org.damasktiller.scheduler.cell.CellSettings;
-import org.damasktiller.scheduler.port.AdviceCalls;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.MetadataStore;
 
 /** The process of an entry VM: it takes callers, and owns the cells that it wins. */
@@ -213,10 +213,10 @@
      *
      * @return the client
      */
-    private AdviceCalls advice() {
+    private AdviceClient advice() {
         InetSocketAddress address = settings.adviceAddress();
         return address == null
-                ? AdviceCalls.NONE
+                ? AdviceClient.NONE
                 : new HttpAdviceCalls(new PlatformCaller(eventloop, ADVICE_MILLIS), address);
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import org.damasktiller.scheduler.model.Route;
-import org.damasktiller.scheduler.port.AdviceCalls;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.AdviceReply;
 
 /**
@@ -27,7 +27,7 @@
     private final CellCore core;
 
     /** Calls the service. */
-    private final AdviceCalls calls;
+    private final AdviceClient calls;
 
     /** Told when tickets have come. */
     private final Runnable changed;
@@ -45,7 +45,7 @@
      * @param calls calls the service
      * @param changed told when tickets have come
      */
-    AdviceDesk(CellCore core, AdviceCalls calls, Runnable changed) {
+    AdviceDesk(CellCore core, AdviceClient calls, Runnable changed) {
         this.core = core;
         this.calls = calls;
         this.changed = changed;
@@ -58,7 +58,7 @@
      * @return whether they do
      */
     boolean needed(StepRecord step) {
-        Route route = core.manifest.byName(step.occurrence.job.accepted.route());
+        Route route = core.manifest.findRouteByName(step.occurrence.job.accepted.route());
         return route != null && route.adviceNeeded();
     }
 
@@ -100,7 +100,7 @@
                 candidates.subList(0, Math.min(WORKERS_ASKED, candidates.size()));
         asking = true;
         String name = step.occurrence.job.id() + '.' + step.occurrence.number + '.' + step.number;
-        calls.ask(
+        calls.requestTickets(
                 name,
                 named.stream().map(worker -> worker.id).toList(),
                 reply -> onReply(step, name, List.copyOf(named), reply));
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellCore.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellCore.java
@@ -11,7 +11,7 @@
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.WorkerClient;
 
 /** What the parts of a cell's owner share: the tables, the ports and the term. */
 final class CellCore {
@@ -29,7 +29,7 @@
     final MetadataStore store;
 
     /** The calls to workers. */
-    final WorkerCalls calls;
+    final WorkerClient calls;
 
     /** The clock and the timers. */
     final ProcessRuntime runtime;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -1,12 +1,12 @@
 package org.damasktiller.scheduler.cell;
 
 import org.damasktiller.scheduler.model.Manifest;
-import org.damasktiller.scheduler.port.AdviceCalls;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.WorkerClient;
 
 /**
  * What an owner works with.
@@ -23,9 +23,9 @@
 public record CellEnvironment(
         CellSettings settings,
         MetadataStore store,
-        WorkerCalls calls,
-        AdviceCalls advice,
-        PlatformFormats formats,
+        WorkerClient calls,
+        AdviceClient advice,
+        PlatformRecordDecoder formats,
         ProcessRuntime runtime,
         DecisionLog log,
         Manifest manifest) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -8,12 +8,12 @@
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.WorkerEntry;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.StoreEvent;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 import org.jspecify.annotations.Nullable;
@@ -286,8 +286,8 @@
         Map<String, Integer> counts = book.pending();
         if (!counts.equals(published)) {
             published = counts;
-            Commit commit = new Commit();
-            commit.expect(CellKeys.owner(core.cell), core.term.headRevision());
+            StoreTransaction commit = new StoreTransaction();
+            commit.expectRevision(CellKeys.owner(core.cell), core.term.headRevision());
             commit.put(CellKeys.pending(core.cell), StoredValues.write(new PendingRecord(counts)));
             core.store.commit(
                     commit,
@@ -393,7 +393,7 @@
 
         @Override
         public void onUpdate(WorkerRecord worker, WorkerEntry before) {
-            long born = worker.entry.bornUnixMillis();
+            long born = worker.entry.bootUnixMillis();
             if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
                 looks.restarted(worker, born);
             }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.damasktiller.scheduler.model.SubmissionRecord;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -119,8 +119,8 @@
         }
         sequence++;
         Group next = new Group(sequence);
-        Commit commit = next.commit;
-        commit.expect(CellKeys.head(core.cell), headRevision);
+        StoreTransaction commit = next.commit;
+        commit.expectRevision(CellKeys.head(core.cell), headRevision);
         commit.put(
                 CellKeys.head(core.cell),
                 StoredValues.write(
@@ -166,7 +166,7 @@
      * @param commit the transaction
      * @param job the job
      */
-    private void add(Commit commit, Job job) {
+    private void add(StoreTransaction commit, Job job) {
         String progress = CellKeys.progress(core.cell) + job.id();
         if (!job.state.isFinal()) {
             job.progressStored = true;
@@ -174,7 +174,7 @@
             return;
         }
         String key = CellKeys.submission(job.id());
-        commit.expect(key, job.createdRevision);
+        commit.expectRevision(key, job.createdRevision);
         commit.put(
                 key,
                 StoredValues.write(
@@ -233,9 +233,9 @@
                 "jobs",
                 sent.versions.size(),
                 "conditions",
-                sent.commit.expected().size(),
+                sent.commit.expectedRevisions().size(),
                 "told",
-                reply == null ? 0 : reply.current().size());
+                reply == null ? 0 : reply.currentItems().size());
         if (reply == null || reply.currentRevision(CellKeys.head(core.cell)) != headRevision) {
             readHead(sent);
             return;
@@ -398,7 +398,7 @@
         private final long sequence;
 
         /** The transaction. */
-        private final Commit commit = new Commit();
+        private final StoreTransaction commit = new StoreTransaction();
 
         /** The versions of the jobs that the group stores. */
         private final Map<Job, Long> versions = new LinkedHashMap<>();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.damasktiller.scheduler.model.EndKind;
-import org.damasktiller.scheduler.model.EndView;
+import org.damasktiller.scheduler.model.EndedRun;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
@@ -81,7 +81,7 @@
      * @param end the end
      * @return the end with the change that must be stored before the worker may forget it
      */
-    PendingEnd apply(WorkerRecord worker, EndView end) {
+    PendingEnd apply(WorkerRecord worker, EndedRun end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
         if (record != null) {
             worker.remove(record);
@@ -198,7 +198,7 @@
      * @param worker the worker
      * @param end the end
      */
-    private void take(TaskRecord task, WorkerRecord worker, EndView end) {
+    private void take(TaskRecord task, WorkerRecord worker, EndedRun end) {
         boolean newest = end.run() >= task.endedRun;
         task.endedRun = Math.max(task.endedRun, end.run());
         task.lastRun = Math.max(task.lastRun, end.run());
@@ -288,7 +288,7 @@
      * @param end the end
      */
     private void noteConduct(
-            Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
+            Job job, WorkerRecord worker, @Nullable RunRecord record, EndedRun end) {
         if (end.kind() == EndKind.DONE) {
             worker.conduct.done();
             if (record != null && record.task != null && record.undisturbed()) {
@@ -376,7 +376,7 @@
      * @return the number of attempts
      */
     int attempts(Job job) {
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = core.manifest.findRouteByName(job.accepted.route());
         return route == null ? DEFAULT_ATTEMPTS : Math.max(1, route.maximumAttempts());
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatch.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatch.java
@@ -129,7 +129,7 @@
             lowestRevision = page.storeRevision();
         }
         highestRevision = Math.max(highestRevision, page.storeRevision());
-        if (page.more() && !page.items().isEmpty()) {
+        if (page.hasMore() && !page.items().isEmpty()) {
             list(page.items().get(page.items().size() - 1).key());
             return;
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
@@ -1,6 +1,6 @@
 package org.damasktiller.scheduler.cell;
 
-import org.damasktiller.scheduler.port.StartOrder;
+import org.damasktiller.scheduler.port.StartRequest;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 
@@ -75,8 +75,8 @@
         worker.add(record);
         long leaseEnd = core.leases.leaseEnd(worker, now);
         core.leases.noteGrant(worker, leaseEnd, now);
-        StartOrder order =
-                new StartOrder(
+        StartRequest order =
+                new StartRequest(
                         task.id,
                         run,
                         task.step.occurrence.job.accepted.submission().payload(),
@@ -250,7 +250,7 @@
         record.pacedAtMillis = core.now();
         int wanted = record.wantedPercent;
         record.slowed |= wanted < RunRecord.FULL_PERCENT;
-        core.calls.pace(
+        core.calls.throttle(
                 record.worker.address(),
                 record.id,
                 record.run,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
@@ -173,7 +173,7 @@
         } else if (spec.filling()) {
             rank = RANK_FILLING;
         }
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = core.manifest.findRouteByName(job.accepted.route());
         double extension = route == null ? 1 : route.extension();
         long slack = route == null ? 0 : route.targetLatencyMillis();
         int priority = route == null ? 0 : route.priority();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.damasktiller.scheduler.model.WorkerEntry;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.StoreEvent;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.jspecify.annotations.Nullable;
@@ -24,7 +24,7 @@
     private final CellCore core;
 
     /** The platform's records. */
-    private final PlatformFormats formats;
+    private final PlatformRecordDecoder formats;
 
     /** Tells which workers belong to the cell. */
     private final Predicate<WorkerEntry> member;
@@ -45,7 +45,7 @@
      */
     WorkerList(
             CellCore core,
-            PlatformFormats formats,
+            PlatformRecordDecoder formats,
             Predicate<WorkerEntry> member,
             Listener listener) {
         this.core = core;
@@ -54,7 +54,7 @@
         this.listener = listener;
         this.watch =
                 new PrefixWatch(
-                        formats.workersPrefix(),
+                        formats.workerKeyPrefix(),
                         GROUPING_MILLIS,
                         core.store,
                         core.runtime,
@@ -177,7 +177,7 @@
      * @return the identifier
      */
     private String idOf(String key) {
-        return key.substring(formats.workersPrefix().length());
+        return key.substring(formats.workerKeyPrefix().length());
     }
 
     /** Takes what has changed in the list. */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Set;
-import org.damasktiller.scheduler.model.EndView;
+import org.damasktiller.scheduler.model.ActiveRun;
+import org.damasktiller.scheduler.model.EndedRun;
 import org.damasktiller.scheduler.model.Inventory;
 import org.damasktiller.scheduler.model.Resources;
-import org.damasktiller.scheduler.model.RunView;
-import org.damasktiller.scheduler.port.HoldOrder;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.HeartbeatRequest;
+import org.damasktiller.scheduler.port.WorkerClient;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 
@@ -71,19 +71,19 @@
         long number = worker.lookNumber;
         long now = core.now();
         boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
-        long leaseEnd = WorkerCalls.NO_LEASE;
+        long leaseEnd = WorkerClient.LEASE_UNCHANGED;
         if (!first && worker.missedLooks == 0) {
             leaseEnd = core.leases.leaseEnd(worker, now);
             core.leases.noteGrant(worker, leaseEnd, now);
         }
         boolean sameLife = worker.missedLooks == 0;
-        HoldOrder order =
-                new HoldOrder(
+        HeartbeatRequest order =
+                new HeartbeatRequest(
                         leaseEnd,
                         core.term.generation(),
                         sameLife ? worker.acknowledgedSequence : NOTHING_ACKNOWLEDGED,
                         sameLife && worker.fenced ? core.settings.lookWaitMillis() : 0);
-        core.calls.hold(worker.address(), order, reply -> onReply(worker, number, reply));
+        core.calls.heartbeat(worker.address(), order, reply -> onReply(worker, number, reply));
     }
 
     /**
@@ -105,15 +105,15 @@
             core.schedule(core.settings.lookRetryMillis(), () -> look(worker));
             return;
         }
-        if (reply.bornUnixMillis() < worker.bornUnixMillis) {
+        if (reply.bootUnixMillis() < worker.bornUnixMillis) {
             look(worker);
             return;
         }
         long now = core.now();
-        if (worker.bornUnixMillis != 0 && reply.bornUnixMillis() > worker.bornUnixMillis) {
-            restarted(worker, reply.bornUnixMillis());
+        if (worker.bornUnixMillis != 0 && reply.bootUnixMillis() > worker.bornUnixMillis) {
+            restarted(worker, reply.bootUnixMillis());
         }
-        worker.bornUnixMillis = reply.bornUnixMillis();
+        worker.bornUnixMillis = reply.bootUnixMillis();
         worker.clockMillis = reply.clockMillis();
         worker.clockReadAtMillis = now;
         worker.answeredAtMillis = now;
@@ -174,7 +174,7 @@
      * @param inventory the inventory
      */
     private void merge(WorkerRecord worker, long number, Inventory inventory) {
-        for (EndView end : inventory.ended()) {
+        for (EndedRun end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
                 worker.pendingEnds.add(book.apply(worker, end));
@@ -182,7 +182,7 @@
         }
         worker.advanceAcknowledgement(core.settled, core.term.runBase());
         Set<RunKey> seen = new HashSet<>();
-        for (RunView view : inventory.running()) {
+        for (ActiveRun view : inventory.running()) {
             seen.add(new RunKey(view.task(), view.run()));
             mergeRun(worker, view);
         }
@@ -200,7 +200,7 @@
      * @param worker the worker
      * @param view the run
      */
-    private void mergeRun(WorkerRecord worker, RunView view) {
+    private void mergeRun(WorkerRecord worker, ActiveRun view) {
         RunRecord record = worker.runs.get(new RunKey(view.task(), view.run()));
         if (record == null) {
             record = adopt(worker, view);
@@ -223,7 +223,7 @@
      * @param view the run
      * @return the record of the run
      */
-    private RunRecord adopt(WorkerRecord worker, RunView view) {
+    private RunRecord adopt(WorkerRecord worker, ActiveRun view) {
         TaskRecord task = book.find(view.task());
         boolean wanted = task != null && !task.done && elsewhere(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
@@ -266,7 +266,7 @@
      * @param view the run
      * @return whether it may
      */
-    private static boolean elsewhere(TaskRecord task, RunView view) {
+    private static boolean elsewhere(TaskRecord task, ActiveRun view) {
         return task.runs.isEmpty() && view.run() > task.endedRun;
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/RunView.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/ActiveRun.java
@@ -11,4 +11,4 @@
  * @param load the tail latency in milliseconds for a task that serves users, the processors in use
  *     in thousandths of a core for any other task; negative if not reported
  */
-public record RunView(TaskId task, int run, String checkpoint, int progressPercent, long load) {}
+public record ActiveRun(TaskId task, int run, String checkpoint, int progressPercent, long load) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/EndView.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/EndedRun.java
@@ -10,4 +10,4 @@
  * @param kind why the run ended
  * @param checkpoint the saved progress from which another run can resume, empty if there is none
  */
-public record EndView(long sequence, TaskId task, int run, EndKind kind, String checkpoint) {}
+public record EndedRun(long sequence, TaskId task, int run, EndKind kind, String checkpoint) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Inventory.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Inventory.java
@@ -9,7 +9,7 @@
  * @param ended the ended runs that have not been acknowledged, in the order of their sequence
  *     numbers
  */
-public record Inventory(List<RunView> running, List<EndView> ended) {
+public record Inventory(List<ActiveRun> running, List<EndedRun> ended) {
 
     /** Makes immutable copies of the lists. */
     public Inventory {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Manifest.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Manifest.java
@@ -30,7 +30,7 @@
      * @param path the path of the request
      * @return the route, or null if no route matches
      */
-    public @Nullable Route route(String host, String path) {
+    public @Nullable Route findRoute(String host, String path) {
         return routes.stream()
                 .filter(route -> route.host().equalsIgnoreCase(host))
                 .filter(route -> path.startsWith(route.pathPrefix()))
@@ -44,7 +44,7 @@
      * @param name the name of the route
      * @return the route, or null if this version of the manifest has no route with that name
      */
-    public @Nullable Route byName(String name) {
+    public @Nullable Route findRouteByName(String name) {
         return routes.stream().filter(route -> route.name().equals(name)).findFirst().orElse(null);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Submission.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/Submission.java
@@ -46,7 +46,7 @@
      *
      * @return true if at least one step is long-running
      */
-    public boolean lasting() {
+    public boolean hasLongRunningStep() {
         return steps.stream().anyMatch(StepSpec::lasting);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/TaskId.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/TaskId.java
@@ -15,13 +15,13 @@
 public record TaskId(String submission, int occurrence, int step, int index) {
 
     /** The text form: the four components separated by dots. */
-    private static final Pattern FORM =
+    private static final Pattern TEXT_FORM =
             Pattern.compile("([^.]+)\\.(\\d{1,9})\\.(\\d{1,9})\\.(\\d{1,9})");
 
-    /** The group of {@link #FORM} that captures the step. */
+    /** The group of {@link #TEXT_FORM} that captures the step. */
     private static final int STEP_GROUP = 3;
 
-    /** The group of {@link #FORM} that captures the index. */
+    /** The group of {@link #TEXT_FORM} that captures the index. */
     private static final int INDEX_GROUP = 4;
 
     /**
@@ -31,7 +31,7 @@
      * @return the identifier, or null if the text does not have this form
      */
     public static @Nullable TaskId parse(String text) {
-        Matcher matcher = FORM.matcher(text);
+        Matcher matcher = TEXT_FORM.matcher(text);
         if (!matcher.matches()) {
             return null;
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/WorkerEntry.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/WorkerEntry.java
@@ -14,7 +14,7 @@
  * @param remainingMillis the minimum time until a draining worker leaves, in milliseconds
  * @param capacity the total resources of the worker
  * @param labels the labels of the worker: its kind and its rack
- * @param bornUnixMillis when the worker booted, in milliseconds since 1970, or 0 if not reported
+ * @param bootUnixMillis when the worker booted, in milliseconds since 1970, or 0 if not reported
  */
 public record WorkerEntry(
         String id,
@@ -25,7 +25,7 @@
         long remainingMillis,
         Resources capacity,
         List<String> labels,
-        long bornUnixMillis) {
+        long bootUnixMillis) {
 
     /** Makes an immutable copy of the labels. */
     public WorkerEntry {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceCalls.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/AdviceClient.java
@@ -9,12 +9,12 @@
  * issues a ticket for each of them.
  */
 @FunctionalInterface
-public interface AdviceCalls {
+public interface AdviceClient {
 
     /** The client of a deployment without an advice service: it never gets an answer. */
-    AdviceCalls NONE =
-            (step, workers, answer) ->
-                    answer.accept(
+    AdviceClient NONE =
+            (step, workers, callback) ->
+                    callback.accept(
                             new AdviceReply(false, Map.of(), 0, "there is no advice service"));
 
     /**
@@ -22,7 +22,7 @@
      *
      * @param step the name of the step
      * @param workers the identifiers of the candidate workers, at most 100
-     * @param answer receives the reply
+     * @param callback receives the reply
      */
-    void ask(String step, List<String> workers, Consumer<AdviceReply> answer);
+    void requestTickets(String step, List<String> workers, Consumer<AdviceReply> callback);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/CommitReply.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/CommitReply.java
@@ -6,14 +6,14 @@
  * The reply of the store to a transaction.
  *
  * @param revision the revision of the changes, or 0 if nothing was changed
- * @param current after a conflict, the current items of the keys that have conditions; keys that do
- *     not exist are omitted
+ * @param currentItems after a conflict, the current items of the keys that have conditions; keys
+ *     that do not exist are omitted
  */
-public record CommitReply(long revision, List<StoreItem> current) {
+public record CommitReply(long revision, List<StoreItem> currentItems) {
 
     /** Makes an immutable copy of the items. */
     public CommitReply {
-        current = List.copyOf(current);
+        currentItems = List.copyOf(currentItems);
     }
 
     /**
@@ -23,7 +23,7 @@
      * @return the revision, or {@link StoreItem#ABSENT} if the key does not exist
      */
     public long currentRevision(String key) {
-        return current.stream()
+        return currentItems.stream()
                 .filter(item -> item.key().equals(key))
                 .mapToLong(StoreItem::revision)
                 .findFirst()
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/MetadataStore.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/MetadataStore.java
@@ -12,18 +12,18 @@
      * Reads a key. The read is linearizable.
      *
      * @param key the key
-     * @param answer receives the item, ABSENT if the key does not exist
+     * @param callback receives the item, ABSENT if the key does not exist
      */
-    void read(String key, Consumer<StoreResult<StoreReading>> answer);
+    void read(String key, Consumer<StoreResult<StoreReading>> callback);
 
     /**
      * Reads a page of the items whose keys have a prefix.
      *
      * @param prefix the prefix of the keys
      * @param after the last key of the previous page, empty for the first page
-     * @param answer receives the page
+     * @param callback receives the page
      */
-    void list(String prefix, String after, Consumer<StoreResult<StorePage>> answer);
+    void list(String prefix, String after, Consumer<StoreResult<StorePage>> callback);
 
     /**
      * Waits for changes to the keys with a prefix.
@@ -31,44 +31,44 @@
      * @param prefix the prefix of the keys
      * @param afterRevision the revision after which changes are reported
      * @param waitMillis the maximum time to wait for a change, in milliseconds
-     * @param answer receives the changes, an empty list if there were none in that time, COMPACTED
-     *     if the store no longer has the history since the revision
+     * @param callback receives the changes, an empty list if there were none in that time,
+     *     COMPACTED if the store no longer has the history since the revision
      */
     void watch(
             String prefix,
             long afterRevision,
             long waitMillis,
-            Consumer<StoreResult<StoreChanges>> answer);
+            Consumer<StoreResult<StoreChanges>> callback);
 
     /**
      * Executes a transaction.
      *
-     * @param commit the transaction
-     * @param answer receives the reply, which has the current items if the status is CONFLICT
+     * @param transaction the transaction
+     * @param callback receives the reply, which has the current items if the status is CONFLICT
      */
-    void commit(Commit commit, Consumer<StoreResult<CommitReply>> answer);
+    void commit(StoreTransaction transaction, Consumer<StoreResult<CommitReply>> callback);
 
     /**
      * Creates a lease.
      *
-     * @param lifeMillis the requested time to live, in milliseconds
-     * @param answer receives the lease
+     * @param ttlMillis the requested time to live, in milliseconds
+     * @param callback receives the lease
      */
-    void grantLease(long lifeMillis, Consumer<StoreResult<StoreLease>> answer);
+    void grantLease(long ttlMillis, Consumer<StoreResult<StoreLease>> callback);
 
     /**
      * Renews a lease.
      *
      * @param lease the identifier of the lease
-     * @param answer receives the result, ABSENT if the lease has ended
+     * @param callback receives the result, ABSENT if the lease has ended
      */
-    void keepLease(long lease, Consumer<StoreResult<Boolean>> answer);
+    void renewLease(long lease, Consumer<StoreResult<Boolean>> callback);
 
     /**
      * Ends a lease and removes the keys that are bound to it.
      *
      * @param lease the identifier of the lease
-     * @param answer receives the result
+     * @param callback receives the result
      */
-    void endLease(long lease, Consumer<StoreResult<Boolean>> answer);
+    void revokeLease(long lease, Consumer<StoreResult<Boolean>> callback);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/PlatformFormats.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/PlatformRecordDecoder.java
@@ -8,14 +8,14 @@
  * Locates and decodes the records that the platform itself keeps in the store: the entries of the
  * workers and the operator's manifest.
  */
-public interface PlatformFormats {
+public interface PlatformRecordDecoder {
 
     /**
      * Returns the prefix of the keys under which workers register.
      *
      * @return the prefix, to which the identifier of a worker is appended
      */
-    String workersPrefix();
+    String workerKeyPrefix();
 
     /**
      * Returns the key under which the operator's manifest is stored.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StartOrder.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StartRequest.java
@@ -14,7 +14,7 @@
  * @param checkpoint the saved progress to resume from, empty if there is none
  * @param ticket the ticket issued by the advice service, empty if the queue needs none
  */
-public record StartOrder(
+public record StartRequest(
         TaskId task,
         int run,
         String payload,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreItem.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreItem.java
@@ -6,10 +6,10 @@
  * @param key the key
  * @param value the stored bytes
  * @param revision the revision of the last write
- * @param created the revision of the write that created the item
+ * @param createdRevision the revision of the write that created the item
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record StoreItem(String key, byte[] value, long revision, long created) {
+public record StoreItem(String key, byte[] value, long revision, long createdRevision) {
 
     /** The revision that represents a key that does not exist. */
     public static final long ABSENT = 0;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/Commit.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/StoreTransaction.java
@@ -9,10 +9,10 @@
  * A transaction of the store. The store applies all writes and removals atomically if every
  * expected revision matches, and none of them otherwise.
  */
-public final class Commit {
+public final class StoreTransaction {
 
     /** The expected revisions by key, in the order in which they were added. */
-    private final Map<String, Long> expected = new LinkedHashMap<>();
+    private final Map<String, Long> expectedRevisions = new LinkedHashMap<>();
 
     /** The values to write by key, in the order in which they were added. */
     private final Map<String, Write> writes = new LinkedHashMap<>();
@@ -21,7 +21,7 @@
     private final Set<String> removals = new LinkedHashSet<>();
 
     /** Creates an empty transaction. */
-    public Commit() {}
+    public StoreTransaction() {}
 
     /**
      * Adds the condition that a key has a certain revision.
@@ -30,8 +30,8 @@
      * @param revision the expected revision, or 0 if the key must not exist
      * @return this transaction
      */
-    public Commit expect(String key, long revision) {
-        expected.put(key, revision);
+    public StoreTransaction expectRevision(String key, long revision) {
+        expectedRevisions.put(key, revision);
         return this;
     }
 
@@ -42,7 +42,7 @@
      * @param value the value
      * @return this transaction
      */
-    public Commit put(String key, byte[] value) {
+    public StoreTransaction put(String key, byte[] value) {
         return put(key, value, 0);
     }
 
@@ -54,7 +54,7 @@
      * @param lease the identifier of the lease, or 0 for none
      * @return this transaction
      */
-    public Commit put(String key, byte[] value, long lease) {
+    public StoreTransaction put(String key, byte[] value, long lease) {
         writes.put(key, new Write(value, lease));
         return this;
     }
@@ -65,7 +65,7 @@
      * @param key the key
      * @return this transaction
      */
-    public Commit remove(String key) {
+    public StoreTransaction remove(String key) {
         removals.add(key);
         return this;
     }
@@ -75,8 +75,8 @@
      *
      * @return the expected revisions by key, 0 for a key that must not exist
      */
-    public Map<String, Long> expected() {
-        return expected;
+    public Map<String, Long> expectedRevisions() {
+        return expectedRevisions;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerCalls.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerClient.java
@@ -10,19 +10,19 @@
  * <p>Each call carries the generation of the cell's owner as a fencing token. A worker refuses
  * calls whose token is lower than the highest that it has seen.
  */
-public interface WorkerCalls {
+public interface WorkerClient {
 
-    /** The value of {@link HoldOrder#leaseUntilMillis} that leaves the lease unchanged. */
-    long NO_LEASE = -1;
+    /** The value of {@link HeartbeatRequest#leaseUntilMillis} that leaves the lease unchanged. */
+    long LEASE_UNCHANGED = -1;
 
     /**
      * Starts a run. Repeating the call for a run that is active has no effect.
      *
      * @param worker the worker
-     * @param order the run to start
-     * @param answer receives the reply
+     * @param request the run to start
+     * @param callback receives the reply
      */
-    void start(WorkerAddress worker, StartOrder order, Consumer<WorkerReply> answer);
+    void start(WorkerAddress worker, StartRequest request, Consumer<WorkerReply> callback);
 
     /**
      * Stops a run. If its start has not reached the worker yet, the worker will refuse that start.
@@ -31,23 +31,23 @@
      * @param task the task
      * @param run the number of the run
      * @param fencingToken the generation of the cell's owner
-     * @param answer receives the reply
+     * @param callback receives the reply
      */
     void stop(
             WorkerAddress worker,
             TaskId task,
             int run,
             long fencingToken,
-            Consumer<WorkerReply> answer);
+            Consumer<WorkerReply> callback);
 
     /**
      * Renews the lease, acknowledges ended runs and asks for the worker's runs.
      *
      * @param worker the worker
-     * @param order the lease, the acknowledgement and how long to wait for a run to end
-     * @param answer receives the reply with the inventory
+     * @param request the lease, the acknowledgement and how long to wait for a run to end
+     * @param callback receives the reply with the inventory
      */
-    void hold(WorkerAddress worker, HoldOrder order, Consumer<WorkerReply> answer);
+    void heartbeat(WorkerAddress worker, HeartbeatRequest request, Consumer<WorkerReply> callback);
 
     /**
      * Limits the processor time of a run, so that it does not slow other tasks of the worker.
@@ -58,13 +58,13 @@
      * @param percent the share of the task's processor demand that the run may use, 0 to 100; 0
      *     pauses the run
      * @param fencingToken the generation of the cell's owner
-     * @param answer receives the reply
+     * @param callback receives the reply
      */
-    void pace(
+    void throttle(
             WorkerAddress worker,
             TaskId task,
             int run,
             int percent,
             long fencingToken,
-            Consumer<WorkerReply> answer);
+            Consumer<WorkerReply> callback);
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerReply.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/port/WorkerReply.java
@@ -8,7 +8,7 @@
  *
  * @param status whether the call was executed, and if not, why
  * @param clockMillis the worker's clock when it replied, in milliseconds, negative if not reported
- * @param bornUnixMillis when the replying worker booted, in milliseconds since 1970, or 0 if not
+ * @param bootUnixMillis when the replying worker booted, in milliseconds since 1970, or 0 if not
  *     reported
  * @param inventory the worker's runs, or null if the call does not ask for them
  * @param reason a description of the outcome, for the log
@@ -16,6 +16,6 @@
 public record WorkerReply(
         WorkerStatus status,
         long clockMillis,
-        long bornUnixMillis,
+        long bootUnixMillis,
         @Nullable Inventory inventory,
         String reason) {}
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.scheduler.port.HoldOrder;
+import org.damasktiller.scheduler.port.HeartbeatRequest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.StartOrder;
+import org.damasktiller.scheduler.port.StartRequest;
 import org.damasktiller.scheduler.port.WorkerAddress;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.WorkerClient;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 import org.damasktiller.standin.metadata.FatePlan;
 
 /** One process's connections to simulated workers, with delay and faults. */
-public final class FleetClient implements WorkerCalls {
+public final class FleetClient implements WorkerClient {
 
     /** How long a call takes each way, in milliseconds. */
     private static final long ONE_WAY_MILLIS = 2;
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void start(WorkerAddress worker, StartOrder order, Consumer<WorkerReply> answer) {
+    public void start(WorkerAddress worker, StartRequest order, Consumer<WorkerReply> answer) {
         call("start", worker, model -> model.start(order), answer);
     }
 
@@ -94,17 +94,18 @@
     }
 
     @Override
-    public void hold(WorkerAddress worker, HoldOrder order, Consumer<WorkerReply> answer) {
+    public void heartbeat(
+            WorkerAddress worker, HeartbeatRequest order, Consumer<WorkerReply> answer) {
         WorkerModel model = workers.get(worker.id());
         long latest = runtime.nowMillis() + order.waitMillis();
-        long born = model == null ? 0 : model.bornUnixMillis();
+        long born = model == null ? 0 : model.bootUnixMillis();
         if (model == null || order.waitMillis() == 0) {
-            call("hold", worker, target -> target.hold(order), answer);
+            call("hold", worker, target -> target.heartbeat(order), answer);
         } else {
             call(
                     "hold",
                     worker,
-                    target -> target.hold(order),
+                    target -> target.heartbeat(order),
                     first -> {
                         if (first.status() == WorkerStatus.OK && !model.hasEnds()) {
                             await(model, born, latest, worker, order, answer);
@@ -116,14 +117,14 @@
     }
 
     @Override
-    public void pace(
+    public void throttle(
             WorkerAddress worker,
             TaskId task,
             int run,
             int percent,
             long fencingToken,
             Consumer<WorkerReply> answer) {
-        call("pace", worker, model -> model.pace(fencingToken), answer);
+        call("pace", worker, model -> model.throttle(fencingToken), answer);
     }
 
     /**
@@ -142,18 +143,18 @@
             long born,
             long latestMillis,
             WorkerAddress worker,
-            HoldOrder order,
+            HeartbeatRequest order,
             Consumer<WorkerReply> answer) {
         if (dead) {
             return;
         }
-        if (model.bornUnixMillis() != born) {
+        if (model.bootUnixMillis() != born) {
             answer.accept(
                     new WorkerReply(WorkerStatus.UNKNOWN, -1, 0, null, "connection broken off"));
             return;
         }
         if (model.hasEnds() || runtime.nowMillis() >= latestMillis) {
-            call("hold", worker, target -> target.hold(order), answer);
+            call("hold", worker, target -> target.heartbeat(order), answer);
         } else {
             runtime.schedule(
                     POLL_MILLIS, () -> await(model, born, latestMillis, worker, order, answer));
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/WorkerModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/WorkerModel.java
@@ -5,16 +5,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.damasktiller.scheduler.model.ActiveRun;
 import org.damasktiller.scheduler.model.EndKind;
-import org.damasktiller.scheduler.model.EndView;
+import org.damasktiller.scheduler.model.EndedRun;
 import org.damasktiller.scheduler.model.Inventory;
 import org.damasktiller.scheduler.model.Resources;
-import org.damasktiller.scheduler.model.RunView;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.scheduler.port.HoldOrder;
+import org.damasktiller.scheduler.port.HeartbeatRequest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.StartOrder;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.StartRequest;
+import org.damasktiller.scheduler.port.WorkerClient;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 
@@ -55,7 +55,7 @@
     private final Map<TaskId, Integer> highest = new HashMap<>();
 
     /** The ends that have not been acknowledged. */
-    private final List<EndView> ends = new ArrayList<>();
+    private final List<EndedRun> ends = new ArrayList<>();
 
     /** Whether the worker is alive. */
     private boolean alive;
@@ -73,7 +73,7 @@
     private long bootMillis;
 
     /** When this boot began, in milliseconds since 1970. */
-    private long bornUnixMillis;
+    private long bootUnixMillis;
 
     /**
      * Creates a worker that has just booted.
@@ -118,7 +118,7 @@
         token = 0;
         leaseEndMillis = 0;
         bootMillis = runtime.nowMillis();
-        bornUnixMillis = runtime.unixMillis();
+        bootUnixMillis = runtime.unixMillis();
     }
 
     /**
@@ -153,8 +153,8 @@
      *
      * @return milliseconds since 1970
      */
-    public long bornUnixMillis() {
-        return bornUnixMillis;
+    public long bootUnixMillis() {
+        return bootUnixMillis;
     }
 
     /**
@@ -172,7 +172,7 @@
      * @param order the order
      * @return the reply
      */
-    public WorkerReply start(StartOrder order) {
+    public WorkerReply start(StartRequest order) {
         if (order.fencingToken() < token) {
             return reply(WorkerStatus.FENCED);
         }
@@ -229,26 +229,26 @@
      * @param order the order
      * @return the reply
      */
-    public WorkerReply hold(HoldOrder order) {
+    public WorkerReply heartbeat(HeartbeatRequest order) {
         if (order.fencingToken() < token) {
             return reply(WorkerStatus.FENCED);
         }
         token = order.fencingToken();
-        if (order.leaseUntilMillis() != WorkerCalls.NO_LEASE) {
+        if (order.leaseUntilMillis() != WorkerClient.LEASE_UNCHANGED) {
             lengthen(order.leaseUntilMillis());
         }
-        for (EndView end : ends) {
-            if (end.sequence() <= order.acknowledged()) {
+        for (EndedRun end : ends) {
+            if (end.sequence() <= order.acknowledgedSequence()) {
                 observer.acknowledged(id, end.task(), end.run(), end.kind());
             }
         }
-        ends.removeIf(end -> end.sequence() <= order.acknowledged());
-        List<RunView> running = new ArrayList<>();
+        ends.removeIf(end -> end.sequence() <= order.acknowledgedSequence());
+        List<ActiveRun> running = new ArrayList<>();
         for (Active run : active.values()) {
-            running.add(new RunView(run.task, run.number, "", progress(run), 0));
+            running.add(new ActiveRun(run.task, run.number, "", progress(run), 0));
         }
         return new WorkerReply(
-                WorkerStatus.OK, clock(), bornUnixMillis, new Inventory(running, ends), "");
+                WorkerStatus.OK, clock(), bootUnixMillis, new Inventory(running, ends), "");
     }
 
     /**
@@ -266,7 +266,7 @@
      * @param fencingToken the token
      * @return the reply
      */
-    public WorkerReply pace(long fencingToken) {
+    public WorkerReply throttle(long fencingToken) {
         return reply(fencingToken < token ? WorkerStatus.FENCED : WorkerStatus.OK);
     }
 
@@ -320,7 +320,7 @@
         active.remove(run.task);
         highest.merge(run.task, run.number, Math::max);
         lastEnd++;
-        ends.add(new EndView(lastEnd, run.task, run.number, kind, ""));
+        ends.add(new EndedRun(lastEnd, run.task, run.number, kind, ""));
         observer.ended(id, run.task, run.number, kind);
     }
 
@@ -353,7 +353,7 @@
      * @return the reply
      */
     private WorkerReply reply(WorkerStatus status) {
-        return new WorkerReply(status, clock(), bornUnixMillis, null, status.name());
+        return new WorkerReply(status, clock(), bootUnixMillis, null, status.name());
     }
 
     /** An active run. */
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreClient.java
@@ -2,7 +2,6 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.ProcessRuntime;
@@ -12,6 +11,7 @@
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 
 /** One process's connection to a {@link StoreModel}, with delay and faults. */
 public final class StoreClient implements MetadataStore {
@@ -96,17 +96,17 @@
     }
 
     @Override
-    public void commit(Commit commit, Consumer<StoreResult<CommitReply>> answer) {
+    public void commit(StoreTransaction commit, Consumer<StoreResult<CommitReply>> answer) {
         call("commit", () -> model.commit(commit), answer);
     }
 
     @Override
-    public void grantLease(long lifeMillis, Consumer<StoreResult<StoreLease>> answer) {
-        call("grant", () -> StoreResult.ok(model.grant(lifeMillis)), answer);
+    public void grantLease(long ttlMillis, Consumer<StoreResult<StoreLease>> answer) {
+        call("grant", () -> StoreResult.ok(model.grant(ttlMillis)), answer);
     }
 
     @Override
-    public void keepLease(long lease, Consumer<StoreResult<Boolean>> answer) {
+    public void renewLease(long lease, Consumer<StoreResult<Boolean>> answer) {
         call(
                 "keep",
                 () ->
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void endLease(long lease, Consumer<StoreResult<Boolean>> answer) {
+    public void revokeLease(long lease, Consumer<StoreResult<Boolean>> answer) {
         call(
                 "end",
                 () -> {
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreModel.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreChanges;
@@ -16,6 +15,7 @@
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.jspecify.annotations.Nullable;
 
 /** The items, leases and history of a store. Calls take effect at once and in order. */
@@ -138,11 +138,11 @@
      * @param commit the transaction
      * @return the reply
      */
-    public StoreResult<CommitReply> commit(Commit commit) {
+    public StoreResult<CommitReply> commit(StoreTransaction commit) {
         expire();
         List<StoreItem> current = new ArrayList<>();
         boolean holds = true;
-        for (Map.Entry<String, Long> condition : commit.expected().entrySet()) {
+        for (Map.Entry<String, Long> condition : commit.expectedRevisions().entrySet()) {
             StoreItem item = items.get(condition.getKey());
             long actual = item == null ? StoreItem.ABSENT : item.revision();
             holds &= actual == condition.getValue();
@@ -154,7 +154,7 @@
             return new StoreResult<>(
                     StoreStatus.CONFLICT, new CommitReply(0, current), "a condition failed");
         }
-        for (Commit.Write write : commit.writes().values()) {
+        for (StoreTransaction.Write write : commit.writes().values()) {
             if (write.lease() != 0 && !leases.containsKey(write.lease())) {
                 return StoreResult.failed(StoreStatus.ABSENT, "no such lease");
             }
@@ -169,14 +169,14 @@
     /**
      * Takes out a lease.
      *
-     * @param lifeMillis its life, in milliseconds
+     * @param ttlMillis its life, in milliseconds
      * @return the lease
      */
-    public StoreLease grant(long lifeMillis) {
+    public StoreLease grant(long ttlMillis) {
         lastLease++;
-        leases.put(lastLease, new Lease(lifeMillis, runtime.nowMillis() + lifeMillis));
-        runtime.schedule(lifeMillis + 1, this::expire);
-        return new StoreLease(lastLease, lifeMillis);
+        leases.put(lastLease, new Lease(ttlMillis, runtime.nowMillis() + ttlMillis));
+        runtime.schedule(ttlMillis + 1, this::expire);
+        return new StoreLease(lastLease, ttlMillis);
     }
 
     /**
@@ -191,8 +191,8 @@
         if (lease == null) {
             return false;
         }
-        leases.put(id, new Lease(lease.lifeMillis(), runtime.nowMillis() + lease.lifeMillis()));
-        runtime.schedule(lease.lifeMillis() + 1, this::expire);
+        leases.put(id, new Lease(lease.ttlMillis(), runtime.nowMillis() + lease.ttlMillis()));
+        runtime.schedule(lease.ttlMillis() + 1, this::expire);
         return true;
     }
 
@@ -240,9 +240,9 @@
      * @param key the key
      * @param write the value and the lease
      */
-    private void put(String key, Commit.Write write) {
+    private void put(String key, StoreTransaction.Write write) {
         StoreItem before = items.get(key);
-        long created = before == null ? revision : before.created();
+        long created = before == null ? revision : before.createdRevision();
         StoreItem item = new StoreItem(key, write.value(), revision, created);
         items.put(key, item);
         keyLeases.remove(key);
@@ -279,8 +279,8 @@
     /**
      * A lease.
      *
-     * @param lifeMillis its life from a renewal, in milliseconds
+     * @param ttlMillis its life from a renewal, in milliseconds
      * @param endMillis when it ends, in milliseconds
      */
-    private record Lease(long lifeMillis, long endMillis) {}
+    private record Lease(long ttlMillis, long endMillis) {}
 }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
@@ -7,17 +7,17 @@
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.WorkerEntry;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.jspecify.annotations.Nullable;
 
 /** The platform's records in a form of the tests' own. */
-final class ModelFormats implements PlatformFormats {
+final class ModelFormats implements PlatformRecordDecoder {
 
     /** The prefix of the workers' entries. */
     static final String WORKERS = "workers/";
 
     @Override
-    public String workersPrefix() {
+    public String workerKeyPrefix() {
         return WORKERS;
     }
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
@@ -29,8 +29,8 @@
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
 import org.damasktiller.scheduler.port.AdviceReply;
-import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.StoreItem;
+import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.FleetClient;
 import org.damasktiller.standin.fleet.RunAudit;
 import org.damasktiller.standin.fleet.TaskBehaviour;
@@ -129,7 +129,7 @@
         InetSocketAddress address =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + workers.size());
         store.commit(
-                new Commit()
+                new StoreTransaction()
                         .put(
                                 ModelFormats.WORKERS + id,
                                 ModelFormats.encode(
@@ -138,7 +138,7 @@
                                         address,
                                         draining,
                                         model.capacity(),
-                                        model.bornUnixMillis())));
+                                        model.bootUnixMillis())));
     }
 
     /**
@@ -147,7 +147,7 @@
      * @param id its identifier
      */
     void unregister(String id) {
-        store.commit(new Commit().remove(ModelFormats.WORKERS + id));
+        store.commit(new StoreTransaction().remove(ModelFormats.WORKERS + id));
     }
 
     /**
@@ -164,8 +164,8 @@
         AcceptedSubmission accepted =
                 new AcceptedSubmission(submission, "route", CELL, runtime.unixMillis());
         store.commit(
-                new Commit()
-                        .expect(CellKeys.submission(id), StoreItem.ABSENT)
+                new StoreTransaction()
+                        .expectRevision(CellKeys.submission(id), StoreItem.ABSENT)
                         .put(CellKeys.submission(id), StoredValues.write(record))
                         .put(CellKeys.inbox(CELL) + id, StoredValues.write(accepted)));
     }
@@ -180,7 +180,7 @@
                 new SubmissionRecord(
                         CELL, "route", SubmissionState.CANCELLED, runtime.unixMillis());
         store.commit(
-                new Commit()
+                new StoreTransaction()
                         .put(CellKeys.submission(id), StoredValues.write(record))
                         .remove(CellKeys.inbox(CELL) + id));
     }
@@ -220,7 +220,7 @@
         HeadRecord head = new HeadRecord(generation, 0, record.node());
         long revision =
                 store.commit(
-                                new Commit()
+                                new StoreTransaction()
                                         .put(CellKeys.owner(CELL), StoredValues.write(record))
                                         .put(CellKeys.head(CELL), StoredValues.write(head)))
                         .require()
