--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
@@ -18,55 +18,59 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stores the changes of jobs in groups, one group at a time. Each group replaces the head key on
- * condition of its revision, so that a group that is carried out late, or by a former owner, fails.
+ * Queues the changes of jobs and commits them to the store in batches, one batch at a time. Each
+ * batch replaces the head key on condition of its revision, so that a batch fails if it arrives
+ * late or was sent by a previous owner.
  */
 final class CommitLoop {
 
-    /** The most rows of a transaction, from the platform's pages. */
+    /**
+     * The most rows of a transaction, given by the platform's documentation; each condition, write
+     * and removal is a row.
+     */
     private static final int MOST_ROWS = 32;
 
-    /** The rows of the head and of the roster. */
+    /** The rows for the head, its condition and the roster, which are reserved in each batch. */
     private static final int FIXED_ROWS = 3;
 
-    /** The rows of a job that is over. */
+    /** The most rows of a finished job: its record, the condition on it, and two removals. */
     private static final int FINAL_ROWS = 4;
 
-    /** The pause after a call that was refused or got no answer, in milliseconds. */
+    /** The delay after a call that was refused or got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 60;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Told of jobs that turn out to be cancelled, and of workers whose ends may be forgotten. */
+    /** Called when a change is stored or a job turns out to be cancelled. */
     private final Listener listener;
 
-    /** The jobs that have changes to store, in order. */
+    /** The jobs whose changes are not in a batch yet, in the order of their first change. */
     private final Set<Job> changed = new LinkedHashSet<>();
 
-    /** The revision of the head key. */
+    /** The revision of the head key after the last batch that was stored. */
     private long headRevision;
 
-    /** The number of the last group. */
+    /** The number of the last batch of the term, 0 before the first. */
     private long sequence;
 
-    /** The group on its way, or null. */
+    /** The batch whose outcome is not known yet, or null. */
     private @Nullable Group group;
 
-    /** Whether the next group is planned. */
+    /** Whether the next batch is scheduled. */
     private boolean planned;
 
-    /** When the last group was sent, in milliseconds. */
+    /** When the last batch was sent, in milliseconds. */
     private long sentAtMillis;
 
-    /** Whether the roster has changed. */
+    /** Whether the roster has changed since the last batch that contains it. */
     private boolean rosterChanged;
 
     /**
-     * Creates a loop with nothing to store.
+     * Creates an empty queue.
      *
-     * @param core the shared part
-     * @param listener told of the effects
+     * @param core the shared state of the cell's owner
+     * @param listener called when a change is stored or a job turns out to be cancelled
      */
     CommitLoop(CellCore core, Listener listener) {
         this.core = core;
@@ -75,9 +79,9 @@
     }
 
     /**
-     * Notes that a job has a change to store.
+     * Queues a job for the next batch after a change of its progress or state.
      *
-     * @param job the job
+     * @param job the job that has changed
      */
     void change(Job job) {
         job.version++;
@@ -85,14 +89,15 @@
         plan();
     }
 
-    /** Notes that the workers in use have changed. */
+    /** Queues the roster for the next batch after a worker was added or removed. */
     void changeRoster() {
         rosterChanged = true;
         plan();
     }
 
     /**
-     * Forgets a job whose record was changed by others.
+     * Discards the unstored changes of a job whose record was changed by another process. They
+     * count as stored, so that the run ends they contain can be acknowledged.
      *
      * @param job the job
      */
@@ -101,7 +106,7 @@
         job.committedVersion = job.version;
     }
 
-    /** Plans the next group. */
+    /** Schedules the next batch unless one is scheduled or in flight. */
     private void plan() {
         if (planned || group != null || core.over) {
             return;
@@ -111,7 +116,7 @@
         core.schedule(Math.max(1, wait), this::send);
     }
 
-    /** Sends the next group. */
+    /** Builds the next batch from the queued changes and sends it. */
     private void send() {
         planned = false;
         if (group != null || (changed.isEmpty() && !rosterChanged)) {
@@ -146,9 +151,9 @@
     }
 
     /**
-     * Adds the workers in use to a group.
+     * Adds the roster to a batch: the present workers and those that previous owners may still use.
      *
-     * @param next the group
+     * @param next the batch
      */
     private void addRoster(Group next) {
         Set<String> ids = new TreeSet<>(core.unsettled);
@@ -161,7 +166,8 @@
     }
 
     /**
-     * Adds the change of a job.
+     * Adds a job to a transaction: its progress, or its final state and the removal of its open
+     * records.
      *
      * @param commit the transaction
      * @param job the job
@@ -189,7 +195,7 @@
         }
     }
 
-    /** Sends the group on its way, again if need be. */
+    /** Sends the current batch, for the first time or again after a failure. */
     private void dispatch() {
         Group sent = group;
         if (sent == null || core.over) {
@@ -200,9 +206,9 @@
     }
 
     /**
-     * Takes the answer to a group.
+     * Handles the answer to a batch.
      *
-     * @param sent the group
+     * @param sent the batch
      * @param result the answer
      */
     private void onReply(Group sent, StoreResult<CommitReply> result) {
@@ -218,10 +224,12 @@
     }
 
     /**
-     * Finds out which condition of a group did not hold.
+     * Handles a conflict. If the head key is unchanged, the condition on a finished job has failed;
+     * the batch is dissolved and its jobs are queued again, finished ones after their record was
+     * checked.
      *
-     * @param sent the group
-     * @param reply the current items, or null if they were not told
+     * @param sent the batch
+     * @param reply the current items, or null if the answer did not include them
      */
     private void resolve(Group sent, @Nullable CommitReply reply) {
         core.log.log(
@@ -254,20 +262,21 @@
     }
 
     /**
-     * Reads the record of a job that is over and took part in a conflict: its caller may have
-     * cancelled it. Only the record itself tells; the items of the conflict may not be complete.
+     * Reads the record of a finished job after a conflict, since its caller may have cancelled it.
+     * The items in the conflict reply can't show this, because they may be incomplete.
      *
-     * @param job the job
+     * @param job the finished job
      */
     private void verify(Job job) {
         core.store.read(CellKeys.submission(job.id()), result -> onRecord(job, result));
     }
 
     /**
-     * Judges the record of a job that is over.
+     * Queues a finished job again if its record is unchanged; otherwise its caller has cancelled
+     * it.
      *
-     * @param job the job
-     * @param result the reading
+     * @param job the finished job
+     * @param result the reading of its record
      */
     private void onRecord(Job job, StoreResult<StoreReading> result) {
         if (core.over) {
@@ -290,9 +299,9 @@
     }
 
     /**
-     * Reads the head to find out whether a group was carried out.
+     * Reads the head to find out whether a batch was stored.
      *
-     * @param sent the group
+     * @param sent the batch whose outcome is unknown
      */
     private void readHead(Group sent) {
         if (!core.over && group == sent) {
@@ -301,10 +310,11 @@
     }
 
     /**
-     * Judges the head.
+     * Determines from the head whether a batch was stored. Sends the batch again if it was not, and
+     * ends the term if another process has changed the head.
      *
-     * @param sent the group whose outcome is not known
-     * @param result the reading
+     * @param sent the batch whose outcome is unknown
+     * @param result the reading of the head
      */
     private void onHead(Group sent, StoreResult<StoreReading> result) {
         if (core.over || group != sent) {
@@ -328,10 +338,11 @@
     }
 
     /**
-     * Notes that a group is stored.
+     * Marks the changes of a batch as stored and schedules the next batch if more changes are
+     * queued.
      *
-     * @param sent the group
-     * @param revision its revision
+     * @param sent the batch
+     * @param revision the revision of the head key that the batch wrote
      */
     private void finish(Group sent, long revision) {
         group = null;
@@ -352,7 +363,7 @@
         }
     }
 
-    /** Moves the acknowledgements of the workers and tells of those that moved. */
+    /** Advances the acknowledgements of all workers over the run ends whose effects are stored. */
     void acknowledge() {
         Collection<WorkerRecord> workers = core.allWorkers();
         for (WorkerRecord worker : workers) {
@@ -365,58 +376,61 @@
         }
     }
 
-    /** Told of the effects of groups. */
+    /** Called with the effects of batches. */
     interface Listener {
 
         /**
-         * Tells that the record of a job was changed by others, so that its caller has cancelled
-         * it.
+         * Called when the record of a finished job was changed by another process, which means that
+         * the caller has cancelled the job.
          *
          * @param job the job
          */
         void onTaken(Job job);
 
         /**
-         * Tells that the final state of a job is stored.
+         * Called when the final state of a job is stored.
          *
-         * @param job the job
+         * @param job the finished job
          */
         void onStored(Job job);
 
         /**
-         * Tells that all ends of a worker that were taken in may be forgotten by it.
+         * Called when the effects of all run ends that a worker has reported are stored, so that
+         * the worker can be told to discard them.
          *
          * @param worker the worker
          */
         void onAcknowledgeable(WorkerRecord worker);
     }
 
-    /** A group of changes in one transaction. */
+    /** The changes that are stored in one transaction. */
     private static final class Group {
 
-        /** The number of the group in the term. */
+        /** The number of the batch in the term. */
         private final long sequence;
 
         /** The transaction. */
         private final Commit commit = new Commit();
 
-        /** The versions of the jobs that the group stores. */
+        /** The jobs that the batch stores, each with the version that is stored. */
         private final Map<Job, Long> versions = new LinkedHashMap<>();
 
-        /** The workers of the roster that the group stores. */
+        /**
+         * The workers in the roster that the batch stores, empty if it does not store the roster.
+         */
         private final List<WorkerRecord> enrolled = new ArrayList<>();
 
         /**
-         * Creates an empty group.
+         * Creates an empty batch.
          *
-         * @param sequence the number of the group
+         * @param sequence the number of the batch in the term
          */
         Group(long sequence) {
             this.sequence = sequence;
         }
 
         /**
-         * Adds a job at its present version.
+         * Notes that the batch stores a job at its current version.
          *
          * @param job the job
          */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Inbox.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Inbox.java
@@ -12,37 +12,41 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Follows the open submissions of the cell. A key that appears is a new submission; one that
- * disappears, though this owner has not closed it, was cancelled.
+ * Watches the keys of the cell's open submissions. A new key is a new submission. A key that is
+ * removed while the job is not finished means that the caller has cancelled the submission.
  */
 final class Inbox implements PrefixWatch.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /**
+     * The delay between a change and the next watch call, in milliseconds, which groups changes.
+     */
     private static final long GROUPING_MILLIS = 10;
 
-    /** The pause before a read that failed is tried again, in milliseconds. */
+    /** The delay before a failed read is tried again, in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Takes what has changed. */
+    /** Called for new and cancelled submissions. */
     private final Listener listener;
 
-    /** The prefix of the keys. */
+    /** The prefix of the keys; the submission identifier follows it. */
     private final String prefix;
 
-    /** The watch. */
+    /** Reads the keys and waits for changes. */
     private final PrefixWatch watch;
 
-    /** Up to which revision a change may be reported that a page has shown already. */
+    /**
+     * The highest revision of the last snapshot; changes up to it may be older than the snapshot.
+     */
     private long snapshotRevision;
 
     /**
-     * Creates an inbox that is not read yet.
+     * Creates a watcher that has not started.
      *
-     * @param core the shared part
-     * @param listener takes what has changed
+     * @param core the shared state of the cell's owner
+     * @param listener called for new and cancelled submissions
      */
     Inbox(CellCore core, Listener listener) {
         this.core = core;
@@ -52,12 +56,12 @@
                 new PrefixWatch(prefix, GROUPING_MILLIS, core.store, core.runtime, core.log, this);
     }
 
-    /** Begins to read. */
+    /** Starts to read the keys. */
     void start() {
         watch.start();
     }
 
-    /** Ends the watch. */
+    /** Stops watching; the listener is not called for later changes. */
     void close() {
         watch.close();
     }
@@ -96,8 +100,8 @@
     }
 
     /**
-     * Reads a key again: one that a page lacks, or one of which a change is reported that may be
-     * older than the pages read.
+     * Reads a single key whose state is in doubt: a snapshot lacks the key of an open job, or the
+     * watch reports a change that may be older than the snapshot.
      *
      * @param key the key
      */
@@ -106,7 +110,7 @@
     }
 
     /**
-     * Takes a key that was read again.
+     * Handles the reading of a key whose state was in doubt.
      *
      * @param key the key
      * @param result the reading
@@ -129,9 +133,10 @@
     }
 
     /**
-     * Takes in a submission unless it is known.
+     * Reports a submission unless it is already open or closed. A record that can't be decoded is
+     * logged and skipped.
      *
-     * @param item its stored record
+     * @param item the stored submission
      */
     private void admit(StoreItem item) {
         String id = idOf(item.key());
@@ -147,32 +152,32 @@
     }
 
     /**
-     * Returns the submission of a key.
+     * Extracts the submission identifier from a key.
      *
      * @param key the key
-     * @return the identifier
+     * @return the identifier of the submission
      */
     private String idOf(String key) {
         return key.substring(prefix.length());
     }
 
-    /** Takes what has changed in the inbox. */
+    /** Called for new and cancelled submissions. */
     interface Listener {
 
-        /** Tells that all keys have been read. */
+        /** Called after all keys have been read, on start and after changes were missed. */
         void onSnapshot();
 
         /**
-         * Takes a new submission.
+         * Called for each submission that is not yet open.
          *
-         * @param job the submission
+         * @param job a new job for the submission
          */
         void onSubmission(Job job);
 
         /**
-         * Tells that the caller has cancelled a submission.
+         * Called when the caller has cancelled a submission.
          *
-         * @param job the submission
+         * @param job the open job of the submission
          */
         void onRemoved(Job job);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseClock.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseClock.java
@@ -1,38 +1,43 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * Computes ends of leases on a worker's clock, and by when they are over on the owner's.
+ * Computes when leases expire: on the worker's clock for the orders to the worker, and on the
+ * owner's clock to decide when a worker has certainly stopped its runs.
  *
- * <p>A lease never ends later than a reading of the worker's clock that is older than the last
- * proof of ownership plus the authority time. A successor, whose term begins after that proof,
- * therefore has to wait no longer than the authority time from its own beginning, however long its
- * predecessor was paused between computing a lease and sending it.
+ * <p>A lease ends at most the authority time after a reading of the worker's clock that was taken
+ * before the last successful ownership check. The term of a successor begins after that check. The
+ * successor therefore has to wait only for the authority time from the start of its own term until
+ * all earlier leases have expired, however long its predecessor was paused between computing a
+ * lease and sending it.
  */
 final class LeaseClock {
 
-    /** The slowest rate of a worker's clock, from the platform's pages. */
+    /**
+     * The lowest rate of a worker's clock relative to the owner's, given by the platform's
+     * documentation.
+     */
     private static final double SLOWEST_RATE = 0.98;
 
-    /** What is added to a time to wait, in milliseconds, against rounding. */
+    /** Added to each waiting time against rounding, in milliseconds. */
     private static final long MARGIN_MILLIS = 50;
 
-    /** The settings. */
+    /** The lease and authority times. */
     private final CellSettings settings;
 
     /**
-     * Creates a computation.
+     * Creates a calculator.
      *
-     * @param settings the settings
+     * @param settings the lease and authority times
      */
     LeaseClock(CellSettings settings) {
         this.settings = settings;
     }
 
     /**
-     * Computes the end of a lease to give now.
+     * Computes the end of a lease that is granted now.
      *
-     * @param worker the worker, whose clock has been read and proven
-     * @param nowMillis the time, in milliseconds
+     * @param worker the worker; an ownership check must have succeeded after a reading of its clock
+     * @param nowMillis the current time on the owner's clock, in milliseconds
      * @return the end on the worker's clock, in milliseconds
      */
     long leaseEnd(WorkerRecord worker, long nowMillis) {
@@ -41,11 +46,12 @@
     }
 
     /**
-     * Notes that a lease is being given.
+     * Records a lease that is about to be sent, so that the worker counts as leased until it has
+     * certainly expired.
      *
      * @param worker the worker
      * @param leaseEnd the end on the worker's clock, in milliseconds
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time on the owner's clock, in milliseconds
      */
     void noteGrant(WorkerRecord worker, long leaseEnd, long nowMillis) {
         long span = Math.max(0, leaseEnd - earliestClock(worker, nowMillis));
@@ -53,21 +59,22 @@
     }
 
     /**
-     * Computes by when the leases of former owners are over.
+     * Computes when all leases of previous owners have certainly expired, even on a worker with the
+     * slowest clock.
      *
-     * @param termBeganMillis when this owner learnt of its term, in milliseconds
-     * @return the time, in milliseconds
+     * @param termBeganMillis when this owner learnt that it had won its term, in milliseconds
+     * @return the time on the owner's clock, in milliseconds
      */
     long formerLeasesOver(long termBeganMillis) {
         return termBeganMillis + stretched(settings.authorityMillis());
     }
 
     /**
-     * Computes the lowest value that the worker's clock can have.
+     * Computes the lowest value that the worker's clock can show now, from its last reading.
      *
      * @param worker the worker
-     * @param nowMillis the time, in milliseconds
-     * @return the value, in milliseconds
+     * @param nowMillis the current time on the owner's clock, in milliseconds
+     * @return the lowest value, in milliseconds
      */
     private static long earliestClock(WorkerRecord worker, long nowMillis) {
         long elapsed = Math.max(0, nowMillis - worker.clockReadAtMillis);
@@ -75,10 +82,11 @@
     }
 
     /**
-     * Stretches a span of the worker's clock to the longest span of the owner's.
+     * Converts a duration on a worker's clock to the longest duration on the owner's clock that it
+     * can correspond to.
      *
-     * @param span the span, in milliseconds
-     * @return the longest span, in milliseconds
+     * @param span the duration on the worker's clock, in milliseconds
+     * @return the longest duration on the owner's clock, in milliseconds
      */
     private static long stretched(long span) {
         return (long) Math.ceil(span / SLOWEST_RATE) + MARGIN_MILLIS;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipProof.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipProof.java
@@ -7,37 +7,38 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Proves again and again, by a linearizable read of the owner's key, that this node owns the cell.
- * Renewing a lease proves nothing: the key may have been taken away meanwhile.
+ * Verifies periodically, by a linearizable read of the owner key, that this process still owns the
+ * cell, and ends the term if it does not. A successful renewal of the store lease would not be
+ * enough: another process may have replaced or removed the key although the lease lives.
  */
 final class OwnershipProof {
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** The stored bytes of the owner's key. */
+    /** The value that the owner key must have. */
     private final byte[] expected;
 
-    /** Run after each proof. */
+    /** Called after each successful check. */
     private final Runnable proven;
 
-    /** The revision of the store at the last proof; what is newer may belong to a successor. */
+    /** The store revision of the last successful check; newer changes may belong to a successor. */
     private long provenRevision;
 
-    /** Whether a read is on its way. */
+    /** Whether a read is in flight. */
     private boolean reading;
 
-    /** Whether another read is wanted after the one on its way. */
+    /** Whether another check was requested while a read was in flight. */
     private boolean again;
 
-    /** Whether the last read failed. */
+    /** Whether the last read failed, so that further failures are not logged. */
     private boolean failing;
 
     /**
-     * Creates a proof that has not begun.
+     * Creates a verifier that has not started.
      *
-     * @param core the shared part
-     * @param proven run after each proof
+     * @param core the shared state of the cell's owner
+     * @param proven called after each successful check
      */
     OwnershipProof(CellCore core, Runnable proven) {
         this.core = core;
@@ -45,13 +46,13 @@
         this.proven = proven;
     }
 
-    /** Begins to prove the ownership at regular times. */
+    /** Checks the ownership now and at regular intervals from then on. */
     void start() {
         renew();
         core.schedule(core.settings.confirmIntervalMillis(), this::start);
     }
 
-    /** Proves the ownership now, or once more after the proof on its way. */
+    /** Checks the ownership now, or again as soon as the check in flight has ended. */
     void renew() {
         if (core.over) {
             return;
@@ -68,17 +69,18 @@
     }
 
     /**
-     * Tells whether something stored at a revision is known to belong to this term.
+     * Returns whether a revision is no newer than the last successful check, so that no successor
+     * can have written it.
      *
-     * @param revision the revision
-     * @return whether it is
+     * @param revision the revision of the store
+     * @return true if a check at this revision or a later one has succeeded
      */
     boolean covers(long revision) {
         return revision <= provenRevision;
     }
 
     /**
-     * Takes a reading of the owner's key.
+     * Handles a reading of the owner key.
      *
      * @param result the reading
      */
@@ -90,7 +92,7 @@
         if (result.status() == StoreStatus.OK) {
             judge(result.require());
         } else if (result.status() == StoreStatus.ABSENT) {
-            core.end("the owner's key is gone");
+            core.end("the owner key no longer exists");
         } else if (!failing) {
             failing = true;
             core.log.log(
@@ -109,9 +111,10 @@
     }
 
     /**
-     * Judges the owner's key.
+     * Ends the term if another process owns the cell; otherwise records the successful check, from
+     * which new leases are computed.
      *
-     * @param reading the reading
+     * @param reading the reading of the owner key
      */
     private void judge(StoreReading reading) {
         StoreItem item = reading.item();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatch.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatch.java
@@ -13,61 +13,71 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Follows the keys with a prefix: reads them all, then waits for changes, and reads them all again
- * when the store no longer has the changes in between.
+ * Watches the keys with a prefix: reads them all, then polls for changes. When the store has
+ * already compacted the changes since the last call, all keys are read again.
  */
 public final class PrefixWatch {
 
-    /** How long one call waits for a change, in milliseconds; short, since a watch may be mute. */
+    /**
+     * How long one call waits for a change, in milliseconds; short, since an open call may report
+     * nothing although keys have changed.
+     */
     private static final long WAIT_MILLIS = 1_500;
 
-    /** The pause after a failed call, in milliseconds: a few tries in an outage of a second. */
+    /**
+     * The delay after a failed call, in milliseconds: several attempts during a one-second outage.
+     */
     private static final long RETRY_MILLIS = 150;
 
-    /** The prefix. */
+    /** The prefix of the watched keys. */
     private final String prefix;
 
     /**
-     * The pause between a change and the next call, in milliseconds, so that changes are grouped.
+     * The delay between a change and the next call, in milliseconds, which groups changes into one
+     * answer.
      */
     private final long groupingMillis;
 
-    /** The store. */
+    /** The metadata store. */
     private final MetadataStore store;
 
     /** The timers. */
     private final ProcessRuntime runtime;
 
-    /** The log. */
+    /** The log of lost and regained watches. */
     private final DecisionLog log;
 
-    /** Takes what is read. */
+    /** Called with the items and changes. */
     private final Listener listener;
 
-    /** The items of the pages read so far. */
+    /** The items of the pages read since the last start. */
     private List<StoreItem> items = new ArrayList<>();
 
-    /** The lowest revision of the pages read, from which changes are wanted. */
+    /**
+     * The revision after which changes are requested: first that of the first page, then of the
+     * last answer.
+     */
     private long lowestRevision;
 
-    /** The highest revision of the pages read. */
+    /** The highest revision of the pages read since the last start. */
     private long highestRevision;
 
-    /** Whether the watch has ended. */
+    /** Whether the watcher was closed. */
     private boolean closed;
 
-    /** Whether the last call failed. */
+    /** Whether the last call failed, so that further failures are not logged. */
     private boolean failing;
 
     /**
-     * Creates a watch that has not begun.
+     * Creates a watcher that has not started.
      *
-     * @param prefix the prefix
-     * @param groupingMillis the pause between a change and the next call, in milliseconds
-     * @param store the store
+     * @param prefix the prefix of the watched keys
+     * @param groupingMillis the delay between a change and the next call, in milliseconds; 0 for
+     *     none
+     * @param store the metadata store
      * @param runtime the timers
-     * @param log the log
-     * @param listener takes what is read
+     * @param log the log of lost and regained watches
+     * @param listener called with the items and changes
      */
     public PrefixWatch(
             String prefix,
@@ -84,7 +94,7 @@
         this.listener = listener;
     }
 
-    /** Begins to read. */
+    /** Reads all keys, then watches for changes; also restarts after a failure. */
     public void start() {
         items = new ArrayList<>();
         lowestRevision = 0;
@@ -92,15 +102,15 @@
         list("");
     }
 
-    /** Ends the watch; nothing more is reported. */
+    /** Stops watching; the listener is not called again. */
     public void close() {
         closed = true;
     }
 
     /**
-     * Reads a page.
+     * Reads a page of the keys.
      *
-     * @param after the key after which it begins
+     * @param after the last key of the previous page, empty for the first page
      */
     private void list(String after) {
         if (!closed) {
@@ -109,7 +119,8 @@
     }
 
     /**
-     * Takes a page.
+     * Handles a page: requests the next one, or reports all items after the last one. A failure
+     * starts again at the first page.
      *
      * @param result the page
      */
@@ -138,7 +149,7 @@
         await();
     }
 
-    /** Waits for a change. */
+    /** Requests the changes since the last answer and waits for one if there are none. */
     private void await() {
         if (!closed) {
             store.watch(prefix, lowestRevision, WAIT_MILLIS, this::onChanges);
@@ -146,9 +157,9 @@
     }
 
     /**
-     * Takes changes.
+     * Handles the answer to a watch call.
      *
-     * @param result the changes
+     * @param result the changes, none if the wait has timed out
      */
     private void onChanges(StoreResult<StoreChanges> result) {
         if (closed) {
@@ -180,10 +191,10 @@
     }
 
     /**
-     * Notes a failed call, with a line for the first of a row.
+     * Records a failed call and logs it if the previous call succeeded.
      *
-     * @param status how it ended
-     * @param reason what the client saw
+     * @param status how the call ended
+     * @param reason what the client observed, for the log
      */
     private void noteFailure(StoreStatus status, String reason) {
         if (!failing) {
@@ -192,7 +203,7 @@
         }
     }
 
-    /** Notes a call that was answered. */
+    /** Records a successful call and logs it if the previous call failed. */
     private void noteSuccess() {
         if (failing) {
             failing = false;
@@ -200,20 +211,21 @@
         }
     }
 
-    /** Takes what a watch reads. */
+    /** Called with the items and changes of a watched prefix. */
     public interface Listener {
 
         /**
-         * Takes all items; keys that are not among them do not exist.
+         * Called with all items, on start and after changes were missed. Keys without an item did
+         * not exist when their page was read.
          *
-         * @param items the items
-         * @param highestRevision the revision of the last page read; a change up to it may be
-         *     reported again
+         * @param items the items, in the order of their keys
+         * @param highestRevision the highest revision of the pages; changes up to it may be
+         *     reported although the items already contain them
          */
         void onSnapshot(List<StoreItem> items, long highestRevision);
 
         /**
-         * Takes a change.
+         * Called for each change, in the order of the revisions.
          *
          * @param event the change
          */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
@@ -6,22 +6,22 @@
 import org.damasktiller.scheduler.model.TaskId;
 
 /**
- * The stored progress of a submission.
+ * The stored progress of an open submission, from which a successor restores its job.
  *
- * @param tasks the tasks of which an end is recorded
+ * @param tasks the tasks that are done, have an ended run, or are lasting tasks that have run
  */
 public record ProgressRecord(List<Entry> tasks) {
 
-    /** Copies the tasks. */
+    /** Copies the entries. */
     public ProgressRecord {
         tasks = List.copyOf(tasks);
     }
 
     /**
-     * Takes the progress of a job.
+     * Creates the record of a job's current progress.
      *
      * @param job the job
-     * @return its progress
+     * @return the progress of its tasks; tasks without progress are left out
      */
     static ProgressRecord of(Job job) {
         List<Entry> entries = new ArrayList<>();
@@ -38,7 +38,8 @@
     }
 
     /**
-     * Gives a job the stored progress.
+     * Applies the stored progress to a job that was just read from the store. Entries of tasks that
+     * the submission does not have are ignored.
      *
      * @param job the job
      */
@@ -61,16 +62,17 @@
     }
 
     /**
-     * The progress of a task.
+     * The stored progress of a task.
      *
-     * @param occurrence the number of the occurrence
-     * @param step the number of the step
-     * @param index the number of the task
+     * @param occurrence the number of the occurrence, from 0
+     * @param step the number of the step in the submission, from 0
+     * @param index the number of the task in the step, from 0
      * @param done whether the task is done
-     * @param failedRuns the runs that have failed, none for lasting tasks, which may fail forever
-     * @param run the highest run whose end is recorded
-     * @param ran whether a lasting task was ever at work
-     * @param checkpoint the saved progress
+     * @param failedRuns the numbers of the runs that failed; always empty for lasting tasks, which
+     *     have no limit of attempts
+     * @param run the highest number of a run whose end is recorded, 0 if there is none
+     * @param ran whether a run of a lasting task was ever confirmed; false for other tasks
+     * @param checkpoint the last checkpoint, empty if there is none or the task is done
      */
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
     public record Entry(
@@ -83,7 +85,7 @@
             boolean ran,
             String checkpoint) {
 
-        /** Replaces fields left out of a stored record by their defaults. */
+        /** Replaces components that the stored record leaves out by their defaults. */
         @SuppressWarnings("ConstantConditions")
         public Entry {
             failedRuns = failedRuns == null ? List.of() : List.copyOf(failedRuns);
@@ -91,10 +93,10 @@
         }
 
         /**
-         * Takes the progress of a task.
+         * Creates the entry of a task's current progress.
          *
          * @param task the task
-         * @return its progress
+         * @return the entry
          */
         static Entry of(TaskRecord task) {
             return new Entry(
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValues.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValues.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 import org.jspecify.annotations.Nullable;
 
-/** Writes and reads the values that the system keeps in the store, as JSON. */
+/** Encodes the scheduler's records as JSON for the store, and decodes them. */
 public final class StoredValues {
 
-    /** The mapper; a newer release may add properties. */
+    /** Ignores unknown properties, which a newer release may have written. */
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
@@ -18,26 +18,27 @@
     private StoredValues() {}
 
     /**
-     * Writes a value.
+     * Encodes a value.
      *
-     * @param value the value
-     * @return its bytes
+     * @param value the value, usually a record whose components become the properties
+     * @return the JSON text as bytes
+     * @throws IllegalArgumentException if the value has no JSON form
      */
     public static byte[] write(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException exception) {
-            throw new IllegalArgumentException("the value can't be written", exception);
+            throw new IllegalArgumentException("cannot encode the value as JSON", exception);
         }
     }
 
     /**
-     * Reads a value.
+     * Decodes a value.
      *
-     * @param bytes its bytes
-     * @param type its type
-     * @param <T> its type
-     * @return the value, or null if the bytes hold no such value
+     * @param bytes the stored bytes
+     * @param type the type of the value
+     * @param <T> the type of the value
+     * @return the value, or null if the bytes are not valid JSON for the type
      */
     public static <T> @Nullable T read(byte[] bytes, Class<T> type) {
         try {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
@@ -12,36 +12,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Follows the entries of the cell's workers. An entry that is gone ends the use of the worker, but
- * proves nothing about what it runs.
+ * Watches the registry entries of the cell's workers and keeps their records up to date. A worker
+ * whose entry is missing is marked as unlisted, but its runs are kept, since they may still be
+ * active.
  */
 final class WorkerList implements PrefixWatch.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /**
+     * The delay between a change and the next watch call, in milliseconds, which groups changes.
+     */
     private static final long GROUPING_MILLIS = 60;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** The platform's records. */
+    /** Decodes the platform's worker entries. */
     private final PlatformFormats formats;
 
-    /** Tells which workers belong to the cell. */
+    /** Decides which workers belong to the cell. */
     private final Predicate<WorkerEntry> member;
 
-    /** Takes what has changed. */
+    /** Called for new and changed workers. */
     private final Listener listener;
 
-    /** The watch. */
+    /** Reads the entries and waits for changes. */
     private final PrefixWatch watch;
 
     /**
-     * Creates a list that is not read yet.
+     * Creates a watcher that has not started.
      *
-     * @param core the shared part
-     * @param formats the platform's records
-     * @param member tells which workers belong to the cell
-     * @param listener takes what has changed
+     * @param core the shared state of the cell's owner
+     * @param formats decodes the platform's worker entries
+     * @param member decides which workers belong to the cell
+     * @param listener called for new and changed workers
      */
     WorkerList(
             CellCore core,
@@ -62,12 +65,12 @@
                         this);
     }
 
-    /** Begins to read. */
+    /** Starts to read the entries. */
     void start() {
         watch.start();
     }
 
-    /** Ends the watch. */
+    /** Stops watching; later changes are ignored. */
     void close() {
         watch.close();
     }
@@ -103,10 +106,10 @@
     }
 
     /**
-     * Reads an entry; one that can't be used is skipped with a line.
+     * Decodes an entry and logs one that is not usable.
      *
      * @param item the stored entry
-     * @return the entry, or null if it is no usable entry of a member
+     * @return the entry, or null if it is not usable or the worker belongs to another cell
      */
     private @Nullable WorkerEntry decode(StoreItem item) {
         WorkerEntry entry = formats.decodeWorker(idOf(item.key()), item.value());
@@ -118,9 +121,9 @@
     }
 
     /**
-     * Takes an entry.
+     * Creates the record of a new worker, or updates that of a known one.
      *
-     * @param entry the entry
+     * @param entry the entry of the worker
      */
     private void update(WorkerEntry entry) {
         WorkerRecord worker = core.workers.get(entry.id());
@@ -151,7 +154,7 @@
     }
 
     /**
-     * Notes that a worker has no entry.
+     * Marks a worker as unlisted, since it has no entry in this cell any more.
      *
      * @param worker the worker
      */
@@ -171,33 +174,33 @@
     }
 
     /**
-     * Returns the worker of a key.
+     * Extracts the worker identifier from a key.
      *
      * @param key the key
-     * @return the identifier
+     * @return the identifier of the worker
      */
     private String idOf(String key) {
         return key.substring(formats.workersPrefix().length());
     }
 
-    /** Takes what has changed in the list. */
+    /** Called for new and changed workers. */
     interface Listener {
 
-        /** Tells that all entries have been read. */
+        /** Called after all entries have been read, on start and after changes were missed. */
         void onSnapshot();
 
         /**
-         * Takes a worker that was not known.
+         * Called after a record was created for a new worker.
          *
          * @param worker the worker
          */
         void onNew(WorkerRecord worker);
 
         /**
-         * Tells that an entry has changed.
+         * Called after the entry of a known worker was read again or changed.
          *
          * @param worker the worker, with the new entry
-         * @param before the entry before
+         * @param before the previous entry
          */
         void onUpdate(WorkerRecord worker, WorkerEntry before);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -13,42 +13,47 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * Looks at the workers again and again: lengthens their leases, takes in what they run and what has
- * ended, and finds out which runs are certainly over.
+ * Polls the workers continuously. Each poll extends the lease of its worker and returns an
+ * inventory of active and ended runs, from which the poller updates the run records and determines
+ * which runs are certainly over.
  */
 final class WorkerLooks {
 
     /**
-     * Acknowledges no end. A worker that did not answer may have begun a new life, whose ends have
-     * numbers of their own: acknowledging those of the former life would make it forget new ones.
+     * Acknowledges no run end. A worker that did not answer may have restarted and numbered its run
+     * ends from 1 again. Acknowledging a number of the earlier boot would make it discard new run
+     * ends.
      */
     private static final long NOTHING_ACKNOWLEDGED = 0;
 
-    /** From how many listed ends on a list may be cut short, from the platform's pages. */
+    /**
+     * The number of run ends from which on an inventory may be truncated, given by the platform's
+     * documentation.
+     */
     private static final int LONGEST_END_LIST = 500;
 
-    /** The pause before a look while ends wait for their commit, in milliseconds. */
+    /** The delay before the next poll while run ends wait for their commit, in milliseconds. */
     private static final long COMMIT_WAIT_MILLIS = 300;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Applies ends. */
+    /** Applies run ends to jobs. */
     private final JobBook book;
 
-    /** Sends orders. */
+    /** Sends stop orders. */
     private final RunOrders orders;
 
-    /** Told after each look. */
+    /** Called after each poll. */
     private final Listener listener;
 
     /**
-     * Creates the looks.
+     * Creates a poller that polls no worker yet.
      *
-     * @param core the shared part
-     * @param book applies ends
-     * @param orders sends orders
-     * @param listener told after each look
+     * @param core the shared state of the cell's owner
+     * @param book applies run ends to jobs
+     * @param orders sends stop orders
+     * @param listener called after each poll
      */
     WorkerLooks(CellCore core, JobBook book, RunOrders orders, Listener listener) {
         this.core = core;
@@ -58,7 +63,9 @@
     }
 
     /**
-     * Looks at a worker unless a look is on its way.
+     * Polls a worker unless a poll of it is in flight. Each outcome schedules the next poll. A poll
+     * extends the lease only if the previous poll was answered, the current boot has answered this
+     * owner, and an ownership check has succeeded after a reading of the worker's clock.
      *
      * @param worker the worker
      */
@@ -87,10 +94,10 @@
     }
 
     /**
-     * Takes the answer to a look.
+     * Handles the answer to a poll. An answer of a boot before the known one is ignored.
      *
      * @param worker the worker
-     * @param number the number of the look
+     * @param number the number of the poll
      * @param reply the answer
      */
     private void onReply(WorkerRecord worker, long number, WorkerReply reply) {
@@ -130,11 +137,11 @@
     }
 
     /**
-     * Takes note of a new boot of a worker: what ran before is over, but a start that got no answer
-     * may still arrive, and has to be stopped there too.
+     * Resets a worker's record after a restart. The runs of the earlier boot are over, but an
+     * unanswered start order may still reach the new boot and therefore has to be stopped there.
      *
      * @param worker the worker
-     * @param bornUnixMillis when the new boot began
+     * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
     void restarted(WorkerRecord worker, long bornUnixMillis) {
         core.log.log(
@@ -167,11 +174,12 @@
     }
 
     /**
-     * Merges an inventory.
+     * Updates the run records from an inventory.
      *
      * @param worker the worker
-     * @param number the number of the look
-     * @param inventory the inventory
+     * @param number the number of the poll; a run counts as missing only if the poll was sent after
+     *     the last order for the run was answered or failed
+     * @param inventory the active and ended runs of the worker
      */
     private void merge(WorkerRecord worker, long number, Inventory inventory) {
         for (EndView end : inventory.ended()) {
@@ -195,10 +203,10 @@
     }
 
     /**
-     * Merges a run that the worker lists as active.
+     * Updates the record of a run that the worker lists as active, or creates one.
      *
      * @param worker the worker
-     * @param view the run
+     * @param view the run as the worker lists it
      */
     private void mergeRun(WorkerRecord worker, RunView view) {
         RunRecord record = worker.runs.get(new RunKey(view.task(), view.run()));
@@ -217,10 +225,11 @@
     }
 
     /**
-     * Takes over a run that a former owner started, or stops one that must not be there.
+     * Creates a record for an active run that this owner does not know, usually one that a previous
+     * owner started. The run is stopped if its task is unknown, done or already running elsewhere.
      *
      * @param worker the worker
-     * @param view the run
+     * @param view the run as the worker lists it
      * @return the record of the run
      */
     private RunRecord adopt(WorkerRecord worker, RunView view) {
@@ -259,19 +268,20 @@
     }
 
     /**
-     * Tells whether an adopted run may go on: no other run of the task is active, and it has not
-     * been superseded.
+     * Returns whether an adopted run may continue.
      *
-     * @param task the task
-     * @param view the run
-     * @return whether it may
+     * @param task the task of the run
+     * @param view the run as the worker lists it
+     * @return true if no other run of the task is or may be active, and no run with this number or
+     *     a higher one has ended
      */
     private static boolean elsewhere(TaskRecord task, RunView view) {
         return task.runs.isEmpty() && view.run() > task.endedRun;
     }
 
     /**
-     * Judges a run that a complete inventory does not have.
+     * Handles a run that is missing from a complete inventory. A run that may still start is
+     * stopped; any other run is over.
      *
      * @param record the run
      */
@@ -280,12 +290,12 @@
             case UNCERTAIN -> orders.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    book.lost(record, "stopped before it arrived");
+                    book.lost(record, "the run was stopped before its start order arrived");
                 } else {
                     orders.sendStop(record);
                 }
             }
-            case RUNNING -> book.lost(record, "the worker no longer lists it");
+            case RUNNING -> book.lost(record, "the worker no longer lists the run");
             default -> {
                 return;
             }
@@ -293,7 +303,8 @@
     }
 
     /**
-     * Ends the runs of a worker whose leases are certainly over.
+     * Marks the runs of a worker as lost if all of its leases have certainly expired. Runs whose
+     * start order may still arrive are kept.
      *
      * @param worker the worker
      */
@@ -310,22 +321,22 @@
         }
     }
 
-    /** Told after each look. */
+    /** Called after each poll. */
     interface Listener {
 
         /**
-         * Tells that a worker has answered a look.
+         * Called after the inventory of an answered poll was processed.
          *
          * @param worker the worker
-         * @param first whether it is the first look at this boot
+         * @param first whether this is the first answer of the worker's current boot to this owner
          */
         void onLook(WorkerRecord worker, boolean first);
 
         /**
-         * Tells that a look got no answer or was refused.
+         * Called when a poll got no answer or was refused.
          *
          * @param worker the worker
-         * @param reply the answer
+         * @param reply the refusal, or the reason why there is no answer
          */
         void onMissedLook(WorkerRecord worker, WorkerReply reply);
     }
