--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
@@ -8,42 +8,50 @@
 import org.damasktiller.scheduler.port.AdviceReply;
 
 /**
- * Asks the advice service for the steps of queues that need it. Load pattern: the service takes one
- * call of a VM at a time and some milliseconds for each worker named, so that a call names a few
- * workers with room, and no worker again while what is known of it holds.
+ * Requests tickets from the advice service for the steps of routes that require them, and stores
+ * the tickets in the steps. Load pattern: the service handles one call per VM at a time and takes
+ * several milliseconds per worker in the call. Each call therefore lists only a limited number of
+ * workers with enough free capacity, and leaves out workers that have a valid ticket or that the
+ * service has already ruled out for the step.
  */
 final class AdviceDesk {
 
-    /** How many workers a call names: what the objective of a submission allows for. */
+    /**
+     * The most workers in one call; a longer call would use up too much of a submission's
+     * objective.
+     */
     private static final int WORKERS_ASKED = 30;
 
-    /** The pause after a call without an answer, in milliseconds. */
+    /** The delay before the next call after one that got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 150;
 
-    /** How long before its end a ticket is no longer used, in milliseconds: the way of a start. */
+    /**
+     * How long before its expiry a ticket is no longer used, in milliseconds: the time that a start
+     * order takes to reach the worker.
+     */
     private static final long MARGIN_MILLIS = 250;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Calls the service. */
+    /** Sends the requests to the advice service. */
     private final AdviceCalls calls;
 
-    /** Told when tickets have come. */
+    /** Called when the service has answered a request. */
     private final Runnable changed;
 
-    /** Whether a call is on its way. */
+    /** Whether a request is in flight. */
     private boolean asking;
 
-    /** Before when no call is made, in milliseconds. */
+    /** The earliest time of the next request, in milliseconds. */
     private long notBeforeMillis;
 
     /**
-     * Creates a desk.
+     * Creates a provider that has requested nothing yet.
      *
-     * @param core the shared part
-     * @param calls calls the service
-     * @param changed told when tickets have come
+     * @param core the shared state of the cell's owner
+     * @param calls sends the requests to the advice service
+     * @param changed called when the service has answered a request
      */
     AdviceDesk(CellCore core, AdviceCalls calls, Runnable changed) {
         this.core = core;
@@ -52,10 +60,10 @@
     }
 
     /**
-     * Tells whether the tasks of a step need a ticket.
+     * Returns whether the tasks of a step may only start with a ticket.
      *
      * @param step the step
-     * @return whether they do
+     * @return true if its route requires advice; false also if the manifest no longer has the route
      */
     boolean needed(StepRecord step) {
         Route route = core.manifest.byName(step.occurrence.job.accepted.route());
@@ -63,11 +71,11 @@
     }
 
     /**
-     * Returns the ticket of a step for a worker.
+     * Returns the ticket with which tasks of a step can start on a worker now.
      *
      * @param step the step
      * @param worker the worker
-     * @return the ticket, empty if there is none that can be used
+     * @return the ticket, empty if there is none or it can no longer be used
      */
     String ticket(StepRecord step, WorkerRecord worker) {
         AdviceTicket ticket = step.tickets.get(worker.id);
@@ -75,7 +83,8 @@
     }
 
     /**
-     * Asks for a step whose tasks wait, unless a call is on its way.
+     * Requests tickets for a step whose tasks wait. Does nothing while another request is in
+     * flight, shortly after a request without an answer, or if no worker qualifies.
      *
      * @param step the step
      */
@@ -107,12 +116,13 @@
     }
 
     /**
-     * Takes the answer for a step.
+     * Stores the tickets of an answer in their step. A worker of the request that got no ticket is
+     * ruled out for the step.
      *
      * @param step the step
-     * @param name the name of the step
-     * @param named the workers that were named
-     * @param reply the answer
+     * @param name the name of the step in the request, for the log
+     * @param named the workers in the request
+     * @param reply the answer, or the reason why there is none
      */
     private void onReply(
             StepRecord step, String name, List<WorkerRecord> named, AdviceReply reply) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -1,20 +1,22 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * The right to run the tasks of a step on a worker.
+ * A permission of the advice service to run the tasks of a step on a worker.
  *
- * @param text what the order to start carries
- * @param bornUnixMillis the boot of the worker for which it holds
- * @param validUntilMillis until when it is valid, in milliseconds
+ * @param text the ticket as the service returned it, sent along in the start order
+ * @param bornUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
+ *     since 1970
+ * @param validUntilMillis when the ticket must no longer be used, on the owner's monotonic clock,
+ *     in milliseconds
  */
 record AdviceTicket(String text, long bornUnixMillis, long validUntilMillis) {
 
     /**
-     * Tells whether the ticket can be used.
+     * Returns whether a start order can carry the ticket now.
      *
-     * @param worker the worker
-     * @param nowMillis the time, in milliseconds
-     * @return whether it can
+     * @param worker the worker for which the ticket was issued
+     * @param nowMillis the current time, in milliseconds
+     * @return true if the worker has not restarted and the ticket has not expired
      */
     boolean usable(WorkerRecord worker, long nowMillis) {
         return worker.bornUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellCore.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellCore.java
@@ -13,67 +13,80 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.WorkerCalls;
 
-/** What the parts of a cell's owner share: the tables, the ports and the term. */
+/**
+ * Holds the state that the components of a cell's owner share: the open jobs, the workers, the
+ * term, and the ports to the store, the workers and the clock.
+ */
 final class CellCore {
 
     /** The name of the cell. */
     final String cell;
 
-    /** The term of the owner. */
+    /** The term for which this node owns the cell. */
     final CellTerm term;
 
-    /** The settings. */
+    /** The intervals and limits. */
     final CellSettings settings;
 
-    /** The store. */
+    /** The metadata store. */
     final MetadataStore store;
 
-    /** The calls to workers. */
+    /** Sends calls to workers. */
     final WorkerCalls calls;
 
     /** The clock and the timers. */
     final ProcessRuntime runtime;
 
-    /** The log. */
+    /** The log of scheduling decisions. */
     final DecisionLog log;
 
-    /** Computes leases. */
+    /** Computes when the leases of workers expire. */
     final LeaseClock leases;
 
-    /** The open submissions, by identifier. */
+    /** The open submissions, by submission identifier. */
     final Map<String, Job> jobs = new LinkedHashMap<>();
 
-    /** The workers, by identifier. */
+    /**
+     * The workers of the cell, by worker identifier; unlisted ones stay until nothing runs there.
+     */
     final Map<String, WorkerRecord> workers = new LinkedHashMap<>();
 
-    /** The manifest in force. */
+    /** The manifest in effect. */
     Manifest manifest;
 
-    /** Whether the term has ended. */
+    /**
+     * Whether the term has ended; from then on no component sends, stores or schedules anything.
+     */
     boolean over;
 
-    /** The workers that may run something for former owners and have not been settled. */
+    /**
+     * The workers that may still run tasks for previous owners: those of the stored roster that
+     * have neither answered a poll with this owner's fencing token nor been removed.
+     */
     final Set<String> unsettled = new TreeSet<>();
 
-    /** Whether every worker that may run something for former owners has been settled. */
+    /**
+     * Whether previous owners can no longer start anything, because each of their workers has seen
+     * this owner's fencing token or because all their leases have expired.
+     */
     boolean settled;
 
     /**
-     * The submissions that this owner has closed; a listing of the store that was on its way may
-     * still show them.
+     * The submissions that this owner has closed, by identifier. A listing that the store had
+     * already begun to return may still contain them, and they must not be admitted again.
      */
     private final Set<String> closed = new HashSet<>();
 
-    /** Told once when the term ends. */
+    /** Called once with the reason when the term ends. */
     private final Consumer<String> ended;
 
     /**
-     * Creates the shared part.
+     * Creates the shared state of an owner that has not started.
      *
-     * @param environment the ports and settings
+     * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
-     * @param term the term
-     * @param ended told why the term ended
+     * @param term the term for which this node owns the cell
+     * @param ended called once with the reason when the term ends
      */
     CellCore(CellEnvironment environment, String cell, CellTerm term, Consumer<String> ended) {
         this.cell = cell;
@@ -89,9 +102,10 @@
     }
 
     /**
-     * Ends the term: nothing is started, held, stopped or stored any more.
+     * Ends the term. From then on the owner sends no orders to workers and stores nothing. Later
+     * calls have no effect.
      *
-     * @param reason why
+     * @param reason why the term ends, for the log
      */
     void end(String reason) {
         if (!over) {
@@ -102,19 +116,19 @@
     }
 
     /**
-     * Returns the time.
+     * Returns the current time of the monotonic clock.
      *
-     * @return the steady clock, in milliseconds
+     * @return the time since an arbitrary moment, in milliseconds
      */
     long now() {
         return runtime.nowMillis();
     }
 
     /**
-     * Runs an action later unless the term has ended by then.
+     * Schedules an action, which is skipped if the term has ended when it is due.
      *
      * @param delayMillis the delay, in milliseconds
-     * @param action the action
+     * @param action the action, run on the thread of the event loop
      */
     void schedule(long delayMillis, Runnable action) {
         runtime.schedule(
@@ -127,7 +141,8 @@
     }
 
     /**
-     * Forgets a job that is over.
+     * Removes a closed job and remembers its identifier, so that the submission is not admitted
+     * again.
      *
      * @param job the job
      */
@@ -137,19 +152,19 @@
     }
 
     /**
-     * Tells whether a submission is known, open or closed.
+     * Returns whether a submission is open or was closed in this term.
      *
-     * @param id the submission
-     * @return whether it is
+     * @param id the identifier of the submission
+     * @return true if this owner has already seen the submission
      */
     boolean known(String id) {
         return jobs.containsKey(id) || closed.contains(id);
     }
 
     /**
-     * Returns the workers.
+     * Returns the workers of the cell.
      *
-     * @return the workers
+     * @return a live view of the workers; callers that remove workers must copy it first
      */
     Collection<WorkerRecord> allWorkers() {
         return workers.values();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -9,16 +9,16 @@
 import org.damasktiller.scheduler.port.WorkerCalls;
 
 /**
- * What an owner works with.
+ * The ports, settings and manifest that a node passes to the owner of a cell.
  *
- * @param settings the settings
- * @param store the store
- * @param calls the calls to workers
- * @param advice the calls to the advice service
- * @param formats the platform's records
+ * @param settings the intervals and limits
+ * @param store the metadata store
+ * @param calls sends calls to workers
+ * @param advice sends requests to the advice service
+ * @param formats decodes the records that the platform keeps in the store
  * @param runtime the clock and the timers
- * @param log the log
- * @param manifest the manifest in force when the owner begins
+ * @param log the log of scheduling decisions
+ * @param manifest the manifest in effect when the term starts
  */
 public record CellEnvironment(
         CellSettings settings,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellKeys.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellKeys.java
@@ -1,27 +1,33 @@
 package org.damasktiller.scheduler.cell;
 
-/** Names the keys that the system keeps in the store. */
+/** Builds the keys under which the scheduler keeps its records in the store. */
 public final class CellKeys {
 
-    /** The prefix of what every process watches: owners and counts of waiting work. */
+    /**
+     * The prefix of the keys that every process watches: the owners and pending counts of all
+     * cells.
+     */
     public static final String PUBLISHED = "public/";
 
-    /** The prefix of the keys of the owners; each goes with its owner's lease. */
+    /**
+     * The prefix of the owner keys, one per cell; each is deleted when its owner's store lease
+     * ends.
+     */
     public static final String OWNERS = PUBLISHED + "owner/";
 
-    /** The prefix of the counts of waiting work of each cell. */
+    /** The prefix of the pending counts, one key per cell; see {@link PendingRecord}. */
     public static final String PENDING = PUBLISHED + "pending/";
 
-    /** The prefix of the records that depend on a submission's identifier alone. */
+    /** The prefix of the submission records, which are found without knowing the cell. */
     private static final String SUBMISSIONS = "submission/";
 
     /** Prevents instantiation. */
     private CellKeys() {}
 
     /**
-     * Returns the key of a submission's record.
+     * Returns the key of a submission's record, which names its cell and state.
      *
-     * @param id the submission's identifier
+     * @param id the identifier of the submission
      * @return the key
      */
     public static String submission(String id) {
@@ -29,9 +35,9 @@
     }
 
     /**
-     * Returns the key of the owner of a cell.
+     * Returns the key that names the owner of a cell; it exists while the cell has an owner.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the key
      */
     public static String owner(String cell) {
@@ -39,9 +45,9 @@
     }
 
     /**
-     * Returns the key of the counts of a cell.
+     * Returns the key of the pending counts of a cell.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the key
      */
     public static String pending(String cell) {
@@ -49,9 +55,10 @@
     }
 
     /**
-     * Returns the key that each commit of an owner replaces.
+     * Returns the key of a cell's head record, which each commit of the owner replaces on condition
+     * of its revision.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the key
      */
     public static String head(String cell) {
@@ -59,9 +66,9 @@
     }
 
     /**
-     * Returns the key of the list of workers that may run something for a cell.
+     * Returns the key of a cell's roster, the list of workers that may run tasks of the cell.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the key
      */
     public static String roster(String cell) {
@@ -69,9 +76,9 @@
     }
 
     /**
-     * Returns the prefix of the open submissions of a cell.
+     * Returns the prefix of the open submissions of a cell; the submission identifier follows it.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the prefix
      */
     public static String inbox(String cell) {
@@ -79,9 +86,9 @@
     }
 
     /**
-     * Returns the prefix of the progress of a cell's submissions.
+     * Returns the prefix of the progress records of a cell; the submission identifier follows it.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @return the prefix
      */
     public static String progress(String cell) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellLayout.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellLayout.java
@@ -5,34 +5,39 @@
 import java.util.TreeSet;
 
 /**
- * Divides the workers of a service into cells, and says which cell takes a submission. Few zones
- * make one cell a service, so that one owner sees all of its room; many zones make one a zone.
+ * Divides the workers of each service into cells and maps submissions to them. In a deployment with
+ * few zones, each service is one cell, so that one owner sees all free capacity of the service. In
+ * a deployment with more zones, each service has one cell per zone.
  */
 public final class CellLayout {
 
-    /** Up to how many zones a service is one cell: the size that one small VM has been run with. */
+    /**
+     * The most zones that one cell spans: the largest deployment that one small VM has been run
+     * with.
+     */
     private static final int MOST_ZONES_TOGETHER = 3;
 
-    /** What separates the service from the zone in the name of a cell. */
+    /** Separates the service from the zone in the name of a cell. */
     private static final char SEPARATOR = '@';
 
-    /** The zones of the deployment. */
+    /** The names of the deployment's zones. */
     private final Set<String> zones;
 
     /**
      * Creates a layout.
      *
-     * @param zones the zones of the deployment
+     * @param zones the names of the deployment's zones
      */
     public CellLayout(Collection<String> zones) {
         this.zones = new TreeSet<>(zones);
     }
 
     /**
-     * Returns the cell of a service's workers or callers in a zone.
+     * Returns the cell that the workers of a service in a zone belong to, and that takes the
+     * submissions of callers in that zone.
      *
-     * @param service the service
-     * @param zone the zone
+     * @param service the name of the service
+     * @param zone the name of the zone
      * @return the name of the cell
      */
     public String cellOf(String service, String zone) {
@@ -42,8 +47,8 @@
     /**
      * Returns all cells of a service.
      *
-     * @param service the service
-     * @return their names
+     * @param service the name of the service
+     * @return the names of the cells
      */
     public Set<String> cellsOf(String service) {
         Set<String> cells = new TreeSet<>();
@@ -54,10 +59,10 @@
     }
 
     /**
-     * Returns the zone of a cell.
+     * Returns the zone to which a cell is limited.
      *
      * @param cell the name of the cell
-     * @return the zone, empty if the cell spans all zones
+     * @return the name of the zone, empty if the cell spans all zones
      */
     public String zoneOf(String cell) {
         int at = cell.indexOf(SEPARATOR);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -19,70 +19,71 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Owns a cell for one term: reads its submissions, progress and workers, fences the workers, and
- * runs the cell until the term ends. All calls come on one thread.
+ * Runs a cell for one term: loads its submissions, progress and workers from the store, fences the
+ * workers with the generation of the term, and schedules the tasks of the cell until the term ends.
+ * All methods must be called on the thread of the event loop.
  */
 public final class CellOwner {
 
-    /** The pause before a read that failed is tried again, in milliseconds. */
+    /** The delay before a failed read is tried again, in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The pause between two publications of the counts, in milliseconds. */
+    /** The time between two publications of the pending counts, in milliseconds. */
     private static final long PUBLISH_MILLIS = 500;
 
-    /** For how long a missed look makes a worker one to avoid, in milliseconds. */
+    /** How long a worker gets no new tasks after a failed poll, in milliseconds. */
     private static final long MISSED_LOOK_MILLIS = 400;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Proves the ownership. */
+    /** Verifies that this process still owns the cell. */
     private final OwnershipProof proof;
 
-    /** Stores changes. */
+    /** Commits changes of jobs and of the roster. */
     private final CommitLoop commits;
 
-    /** Applies ends. */
+    /** Applies run ends to jobs. */
     private final JobBook book;
 
-    /** Looks at workers. */
+    /** Polls the workers. */
     private final WorkerLooks looks;
 
-    /** Paces fillers. */
+    /** Throttles fillers. */
     private final FillerControl fillers;
 
-    /** Moves runs that get on too slowly. */
+    /** Moves runs that progress too slowly. */
     private final StragglerControl stragglers;
 
-    /** Moves work off workers that leave. */
+    /** Moves work off draining workers. */
     private final DrainControl drains;
 
-    /** Starts what waits. */
+    /** Starts waiting tasks. */
     private final StartPass pass;
 
-    /** Follows submissions. */
+    /** Watches the open submissions. */
     private final Inbox inbox;
 
-    /** Follows workers. */
+    /** Watches the worker entries. */
     private final WorkerList workerList;
 
-    /** Whether the submissions and the progress have been read. */
+    /** Whether the submissions, the progress and the roster have been read. */
     private boolean loaded;
 
-    /** Whether a pass is planned. */
+    /** Whether a pass over the waiting tasks is scheduled. */
     private boolean passPlanned;
 
-    /** The counts published last. */
+    /** The pending counts published last; a value that matches no counts after a failure. */
     private Map<String, Integer> published = Map.of();
 
     /**
-     * Creates an owner that has not begun.
+     * Creates an owner that has not started.
      *
-     * @param environment the ports and settings
+     * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
-     * @param term the term
-     * @param member tells which workers belong to the cell
-     * @param ended told why the term ended
+     * @param term the term for which this process owns the cell
+     * @param member decides which workers belong to the cell
+     * @param ended called once with the reason when the term ends
      */
     public CellOwner(
             CellEnvironment environment,
@@ -107,7 +108,7 @@
         workerList = new WorkerList(core, environment.formats(), member, new Workers());
     }
 
-    /** Begins the term's work. */
+    /** Starts to load the cell; tasks are scheduled once all records have been read. */
     public void start() {
         core.log.log(
                 "owner.began",
@@ -121,28 +122,28 @@
     }
 
     /**
-     * Puts a manifest in force.
+     * Replaces the manifest in effect.
      *
-     * @param manifest the manifest
+     * @param manifest the new manifest
      */
     public void manifest(Manifest manifest) {
         core.manifest = manifest;
     }
 
     /**
-     * Ends the term.
+     * Ends the term; has no effect if it has already ended.
      *
-     * @param reason why
+     * @param reason why the term ends, for the log
      */
     public void stop(String reason) {
         core.end(reason);
     }
 
     /**
-     * Finds the state of an open submission.
+     * Returns the state of an open submission.
      *
-     * @param id its identifier
-     * @return its state, or null if the owner does not know it
+     * @param id the identifier of the submission
+     * @return the state, or null if the submission is not open in this cell or the term has ended
      */
     public @Nullable SubmissionState state(String id) {
         Job job = core.jobs.get(id);
@@ -150,10 +151,10 @@
     }
 
     /**
-     * Ends what follows the store.
+     * Stops the watches when the term has ended.
      *
      * @param reason why the term ended
-     * @param listener told of the reason
+     * @param listener called with the reason
      */
     private void ended(String reason, Consumer<String> listener) {
         inbox.close();
@@ -161,12 +162,15 @@
         listener.accept(reason);
     }
 
-    /** Ends the term: only a successor's fencing token can be higher than this owner's. */
+    /**
+     * Ends the term after a worker has seen a higher fencing token, which only a successor can
+     * have.
+     */
     private void fenced() {
-        core.end("a worker has seen a newer generation");
+        core.end("a worker has seen a higher fencing token");
     }
 
-    /** Reads the stored progress, then the roster, then the workers. */
+    /** Reads the stored progress, then the roster, then the worker entries. */
     private void loadProgress() {
         ProgressReader reader = new ProgressReader();
         reader.watch =
@@ -180,15 +184,15 @@
         reader.watch.start();
     }
 
-    /** Reads the workers that former owners used. */
+    /** Reads the roster, which lists the workers that previous owners used. */
     private void loadRoster() {
         core.store.read(CellKeys.roster(core.cell), this::onRoster);
     }
 
     /**
-     * Takes the roster.
+     * Completes the loading with the roster, and starts the regular work of the owner.
      *
-     * @param result the reading
+     * @param result the reading of the roster
      */
     private void onRoster(StoreResult<StoreReading> result) {
         if (core.over) {
@@ -222,7 +226,10 @@
         publish();
     }
 
-    /** Does what is due at regular times. */
+    /**
+     * Does the periodic work: ends expired runs, handles draining workers, removes workers that are
+     * gone, and schedules a pass.
+     */
     private void tick() {
         long now = core.now();
         boolean changed = false;
@@ -246,7 +253,10 @@
         core.schedule(core.settings.passIntervalMillis() * 2, this::tick);
     }
 
-    /** Finds out whether every worker of former owners is settled. */
+    /**
+     * Checks whether previous owners can no longer start anything. Once that is so, submissions
+     * from before this term may be scheduled and the run ends of previous owners acknowledged.
+     */
     private void settle() {
         if (core.settled || !loaded) {
             return;
@@ -268,7 +278,10 @@
         }
     }
 
-    /** Plans a pass over what waits. */
+    /**
+     * Schedules a pass over the waiting tasks unless one is scheduled or the cell is not loaded
+     * yet.
+     */
     private void planPass() {
         if (!passPlanned && loaded && !core.over) {
             passPlanned = true;
@@ -281,7 +294,9 @@
         }
     }
 
-    /** Publishes how many submissions wait, if that has changed. */
+    /**
+     * Publishes the pending counts of the cell if they have changed, and schedules the next check.
+     */
     private void publish() {
         Map<String, Integer> counts = book.pending();
         if (!counts.equals(published)) {
@@ -300,7 +315,7 @@
         core.schedule(PUBLISH_MILLIS, this::publish);
     }
 
-    /** Takes the effects of commits. */
+    /** Applies the effects of commits. */
     private final class Commits implements CommitLoop.Listener {
 
         @Override
@@ -319,7 +334,7 @@
         }
     }
 
-    /** Takes the results of looks. */
+    /** Applies the results of polls. */
     private final class Looks implements WorkerLooks.Listener {
 
         @Override
@@ -344,7 +359,7 @@
         }
     }
 
-    /** Takes changes of the inbox. */
+    /** Applies new and cancelled submissions. */
     private final class Submissions implements Inbox.Listener {
 
         @Override
@@ -377,7 +392,7 @@
         }
     }
 
-    /** Takes changes of the workers. */
+    /** Applies new and changed workers. */
     private final class Workers implements WorkerList.Listener {
 
         @Override
@@ -401,10 +416,12 @@
         }
     }
 
-    /** Reads the stored progress once. */
+    /** Restores the jobs from a single reading of the stored progress. */
     private final class ProgressReader implements PrefixWatch.Listener {
 
-        /** The watch, closed after the first reading. */
+        /**
+         * Reads the progress records; closed after the first snapshot. Null only before it is set.
+         */
         private @Nullable PrefixWatch watch;
 
         @Override
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
@@ -1,48 +1,58 @@
 package org.damasktiller.scheduler.cell;
 
-/** The times and bounds by which the owner of a cell works. */
+/** The intervals, timeouts and limits of a cell's owner. */
 public final class CellSettings {
 
-    /** How long a worker may run things without hearing from the owner, in milliseconds. */
+    /** How long a worker may run tasks without a new lease from the owner, in milliseconds. */
     private final long workerLeaseMillis;
 
-    /** How long the keys of a silent process live in the store, in milliseconds. */
+    /**
+     * How long the store keeps the leased keys of a process that no longer renews, in milliseconds.
+     */
     private final long storeLeaseMillis;
 
-    /** How long a proof of ownership lets the owner lengthen leases, in milliseconds. */
+    /**
+     * How long after an ownership check the owner may still extend worker leases, in milliseconds.
+     */
     private final long authorityMillis;
 
-    /** How long a look waits for an end, in milliseconds. */
+    /** How long a worker may delay its answer to a poll until a run ends, in milliseconds. */
     private final long lookWaitMillis;
 
-    /** The pause between looks at a worker that does not answer, in milliseconds. */
+    /** The delay before a worker is polled again after a failed poll, in milliseconds. */
     private final long lookRetryMillis;
 
-    /** The least time between two commits, in milliseconds. */
+    /** The shortest time between two commits, in milliseconds. */
     private final long commitIntervalMillis;
 
-    /** The time between two checks of the ownership, in milliseconds. */
+    /** The time between two ownership checks, in milliseconds. */
     private final long confirmIntervalMillis;
 
-    /** The time between two passes over waiting work, in milliseconds. */
+    /**
+     * Half the time between two ticks of the owner, in milliseconds; each tick schedules a pass
+     * over the waiting tasks.
+     */
     private final long passIntervalMillis;
 
-    /** How early an occurrence may start, in milliseconds. */
+    /** How long before its due time an occurrence may start, in milliseconds. */
     private final long earlyMillis;
 
-    /** For how long a serving task may be over its target before fillers must pause. */
+    /**
+     * How long a serving task may exceed its target latency before fillers must pause, in
+     * milliseconds.
+     */
     private final long impactMillis;
 
     /**
-     * How many times as long a step takes away from its data, or a gang across racks; from the
-     * platform's settings.
+     * How many times as long a step takes if it runs away from its data, or a gang if it spans
+     * racks; given by the platform's settings.
      */
     private final double remoteFactor;
 
     /**
      * Creates the settings.
      *
-     * @param builder has the values
+     * @param builder the source of the values
      */
     private CellSettings(Builder builder) {
         workerLeaseMillis = builder.workerLeaseMillis;
@@ -59,16 +69,16 @@
     }
 
     /**
-     * Starts to build settings from the defaults.
+     * Creates a builder.
      *
-     * @return a builder
+     * @return a builder with the default values
      */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Returns how long a worker may run things without hearing from the owner.
+     * Returns how long a worker may run tasks without a new lease from the owner.
      *
      * @return the time, in milliseconds
      */
@@ -77,7 +87,8 @@
     }
 
     /**
-     * Returns how long the keys of a silent process live in the store.
+     * Returns how long the store keeps the leased keys of a process that no longer renews its
+     * lease.
      *
      * @return the time, in milliseconds
      */
@@ -86,7 +97,7 @@
     }
 
     /**
-     * Returns how long a proof of ownership lets the owner lengthen leases.
+     * Returns how long after a successful ownership check the owner may still extend worker leases.
      *
      * @return the time, in milliseconds
      */
@@ -95,7 +106,7 @@
     }
 
     /**
-     * Returns how long a look waits for an end.
+     * Returns how long a worker may delay its answer to a poll until a run ends.
      *
      * @return the time, in milliseconds
      */
@@ -104,7 +115,7 @@
     }
 
     /**
-     * Returns the pause between looks at a worker that does not answer.
+     * Returns the delay before a worker is polled again after a failed poll.
      *
      * @return the time, in milliseconds
      */
@@ -113,7 +124,7 @@
     }
 
     /**
-     * Returns the least time between two commits.
+     * Returns the shortest time between two commits.
      *
      * @return the time, in milliseconds
      */
@@ -122,7 +133,7 @@
     }
 
     /**
-     * Returns the time between two checks of the ownership.
+     * Returns the time between two ownership checks.
      *
      * @return the time, in milliseconds
      */
@@ -131,7 +142,8 @@
     }
 
     /**
-     * Returns the time between two passes over waiting work.
+     * Returns half the time between two ticks of the owner; each tick schedules a pass over the
+     * waiting tasks.
      *
      * @return the time, in milliseconds
      */
@@ -140,7 +152,7 @@
     }
 
     /**
-     * Returns how early an occurrence may start.
+     * Returns how long before its due time an occurrence may start.
      *
      * @return the time, in milliseconds
      */
@@ -149,7 +161,7 @@
     }
 
     /**
-     * Returns for how long a serving task may be over its target before fillers must pause.
+     * Returns how long a serving task may exceed its target latency before fillers must pause.
      *
      * @return the time, in milliseconds
      */
@@ -158,9 +170,10 @@
     }
 
     /**
-     * Returns how many times as long a step takes away from its data.
+     * Returns how many times as long a step takes if it runs away from its data, or a gang if it
+     * spans racks.
      *
-     * @return the factor
+     * @return the factor, 1 for no slowdown
      */
     public double remoteFactor() {
         return remoteFactor;
@@ -170,46 +183,51 @@
     public static final class Builder {
 
         /**
-         * The default lease of a worker: long enough for the store's lease of a dead owner to end
-         * and a successor to start, short enough to start its work elsewhere soon.
+         * The default lease of a worker. It outlasts the time until the store lease of a failed
+         * owner has expired and a successor has started, and is short enough to restart the tasks
+         * of a lost worker elsewhere soon.
          */
         private long workerLeaseMillis = 4_500;
 
-        /** See the settings: long enough for two lost renewals, short for a quick takeover. */
+        /**
+         * The default store lease: it survives two lost renewals and still allows a quick takeover.
+         */
         private long storeLeaseMillis = 2_000;
 
-        /** The default time of a proof of ownership: an outage of the store of some seconds. */
+        /**
+         * The default validity of an ownership check: it bridges a store outage of several seconds.
+         */
         private long authorityMillis = 7_000;
 
-        /** The default wait of a look: two figures a second of each task. */
+        /** The default wait of a poll: it yields two measurements per task and second. */
         private long lookWaitMillis = 500;
 
-        /** The default pause between looks in vain: the round trip between regions, doubled. */
+        /** The default delay after a failed poll: twice the round trip between regions. */
         private long lookRetryMillis = 120;
 
-        /** The default pause between commits: a fourteenth of the smallest store's writes. */
+        /** The default time between commits: they use 1/14 of the smallest store's write rate. */
         private long commitIntervalMillis = 35;
 
-        /** The default pause between checks: a fraction of the store's lease. */
+        /** The default time between ownership checks: a quarter of the default store lease. */
         private long confirmIntervalMillis = 500;
 
-        /** The default pause between passes: short beside the shortest task. */
+        /** The default half tick: short compared with the shortest task. */
         private long passIntervalMillis = 25;
 
-        /** The default bound of early starts: none before the time. */
+        /** The default lead of occurrences: 0, no occurrence starts before its due time. */
         private long earlyMillis;
 
-        /** The default bound of time over target, from the platform's pages. */
+        /** The default limit of the time over target, given by the platform's documentation. */
         private long impactMillis = 4_000;
 
-        /** The default factor of remote data. */
+        /** The default slowdown of steps away from their data and of gangs across racks. */
         private double remoteFactor = 2;
 
-        /** Creates a builder with the defaults. */
+        /** Creates a builder with the default values. */
         private Builder() {}
 
         /**
-         * Sets how long a worker may run things without hearing from the owner.
+         * Sets how long a worker may run tasks without a new lease from the owner.
          *
          * @param millis the time, in milliseconds
          * @return this builder
@@ -220,9 +238,9 @@
         }
 
         /**
-         * Bounds the lease of workers by the longest that they grant.
+         * Shortens the worker lease if it exceeds the longest lease that workers accept.
          *
-         * @param millis the longest, in milliseconds
+         * @param millis the longest lease that workers accept, in milliseconds
          * @return this builder
          */
         public Builder longestWorkerLeaseMillis(long millis) {
@@ -231,9 +249,9 @@
         }
 
         /**
-         * Bounds the lease of a process's keys by the shortest that the store grants.
+         * Lengthens the store lease if it is below the shortest lease that the store grants.
          *
-         * @param millis the shortest, in milliseconds
+         * @param millis the shortest lease that the store grants, in milliseconds
          * @return this builder
          */
         public Builder shortestStoreLeaseMillis(long millis) {
@@ -242,7 +260,8 @@
         }
 
         /**
-         * Sets how long a proof of ownership lets the owner lengthen leases.
+         * Sets how long after a successful ownership check the owner may still extend worker
+         * leases.
          *
          * @param millis the time, in milliseconds
          * @return this builder
@@ -253,7 +272,7 @@
         }
 
         /**
-         * Sets how long a look waits for an end.
+         * Sets how long a worker may delay its answer to a poll until a run ends.
          *
          * @param millis the time, in milliseconds
          * @return this builder
@@ -264,7 +283,7 @@
         }
 
         /**
-         * Sets for how long a serving task may be over its target.
+         * Sets how long a serving task may exceed its target latency before fillers must pause.
          *
          * @param millis the time, in milliseconds
          * @return this builder
@@ -275,9 +294,10 @@
         }
 
         /**
-         * Sets how many times as long a step takes away from its data.
+         * Sets how many times as long a step takes if it runs away from its data, or a gang if it
+         * spans racks.
          *
-         * @param factor the factor
+         * @param factor the factor, 1 for no slowdown
          * @return this builder
          */
         public Builder remoteFactor(double factor) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
@@ -1,23 +1,26 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * The time during which a node owns a cell.
+ * A term: the period for which one process owns a cell, from an election it has won.
  *
- * @param generation the generation, the fencing token at the workers
- * @param owner the value of the owner's key
- * @param headRevision the revision of the head key when the term began
- * @param beganMillis when this node learnt that its term had begun, in milliseconds
+ * @param generation the number of the term, higher than that of each earlier term; it is the
+ *     fencing token in the orders to workers
+ * @param owner the value stored under the owner key
+ * @param headRevision the revision of the transaction that won the election, which wrote the owner
+ *     key and the head key
+ * @param beganMillis when this process learnt that it had won, on its monotonic clock, in
+ *     milliseconds
  */
 public record CellTerm(long generation, OwnerRecord owner, long headRevision, long beganMillis) {
 
-    /** The number of runs of a task that one term can number. */
+    /** How many run numbers each term has for each task. */
     private static final int RUNS_PER_TERM = 1_000;
 
     /**
-     * Returns the number below the first run of the term; it is higher than those of all former
-     * terms, so that a task's runs rise although starts are not stored.
+     * Returns the run number before the first run of this term. It is no lower than any run number
+     * of earlier terms, so that the run numbers of a task increase although starts are not stored.
      *
-     * @return the number below the first run
+     * @return the run number before the first one that this term may use
      */
     int runBase() {
         return (int) (generation - 1) * RUNS_PER_TERM;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
@@ -4,30 +4,32 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Takes work off workers that leave. Load pattern: a worker drains for some seconds and then ends
- * all that it runs; lasting tasks move at once, work that saves its progress is stopped in time to
- * go on elsewhere, and the rest is left to end.
+ * Moves work off draining workers. Load pattern: a worker drains for several seconds, then ends all
+ * runs that are left. Lasting tasks are stopped at once so that they restart elsewhere.
+ * Checkpointing tasks that will not finish in time are stopped shortly before the worker leaves, so
+ * that they resume elsewhere from their checkpoint. All other runs may use the remaining time to
+ * finish.
  */
 final class DrainControl {
 
-    /** How long before the leave work that saves its progress is stopped, in milliseconds. */
+    /** How long before the worker leaves its checkpointing runs are stopped, in milliseconds. */
     private static final long SAVE_AHEAD_MILLIS = 1_000;
 
-    /** The shared part. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
-    /** Sends the orders. */
+    /** Sends the stop orders. */
     private final RunOrders orders;
 
-    /** The expected run times. */
+    /** Estimates the run times of steps. */
     private final RunTimes runTimes;
 
     /**
-     * Creates the control.
+     * Creates a controller.
      *
-     * @param core the shared part
-     * @param orders sends the orders
-     * @param runTimes the expected run times
+     * @param core the shared state of the cell's owner
+     * @param orders sends the stop orders
+     * @param runTimes estimates the run times of steps
      */
     DrainControl(CellCore core, RunOrders orders, RunTimes runTimes) {
         this.core = core;
@@ -36,7 +38,8 @@
     }
 
     /**
-     * Judges a worker and stops what has to move.
+     * Records when a worker began to drain, and stops the runs that have to move off it now. Called
+     * for each worker on each tick of the owner.
      *
      * @param worker the worker
      */
@@ -61,13 +64,14 @@
     }
 
     /**
-     * Tells whether a run has to move now.
+     * Returns whether a run has to move off its draining worker now.
      *
-     * @param run the run
-     * @param spec its step
-     * @param leftMillis the least time until the worker leaves, in milliseconds
-     * @param now the time, in milliseconds
-     * @return whether it has
+     * @param run the run, which is active
+     * @param spec the step of the run
+     * @param leftMillis the shortest time until the worker leaves, in milliseconds
+     * @param now the current time, in milliseconds
+     * @return true if the run belongs to a lasting task, or can resume from a checkpoint and is not
+     *     expected to finish before the worker leaves
      */
     private boolean mustMove(RunRecord run, StepSpec spec, long leftMillis, long now) {
         if (spec.lasting()) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnerRecord.java
@@ -1,10 +1,11 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * The value of the key of a cell's owner.
+ * The stored value of a cell's owner key.
  *
- * @param node the node that owns the cell
- * @param process the number of the node's process, different after each start
- * @param generation the generation of the owner
+ * @param node the name of the node that owns the cell
+ * @param process the identifier of the node's process, different after each start of the node
+ * @param generation the generation of the owner, which is the fencing token in its orders to
+ *     workers
  */
 public record OwnerRecord(String node, String process, long generation) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RosterRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RosterRecord.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * The workers that may run something for a cell.
+ * The stored roster of a cell: the workers that may run tasks for its current or previous owners. A
+ * successor reads it to learn which workers it has to fence.
  *
- * @param workers their identifiers
+ * @param workers the identifiers of the workers
  */
 public record RosterRecord(List<String> workers) {
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/package-info.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/package-info.java
@@ -1,4 +1,7 @@
-/** The owner of a cell: the jobs, the workers, what runs where, and what is committed. */
+/**
+ * The owner of a cell: it tracks the jobs and workers of the cell, decides which worker runs which
+ * task, and commits the results to the store.
+ */
 @NullMarked
 package org.damasktiller.scheduler.cell;
 
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/CellSettingsTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/CellSettingsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests how the bounds of a deployment change the times. */
+/** Tests that lease times stay within the limits of the deployment. */
 class CellSettingsTest {
 
     @Test
