--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.damasktiller.scheduler.cell.CellKeys;
 import org.damasktiller.scheduler.cell.CellLayout;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.model.AcceptedSubmission;
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.model.SubmissionRecord;
@@ -127,10 +127,10 @@
             long unixMillis = runtime.unixMillis();
             String route = request.route().name();
             byte[] record =
-                    StoredValues.write(
+                    StoredValueCodec.write(
                             new SubmissionRecord(cell, route, SubmissionState.QUEUED, unixMillis));
             byte[] accepted =
-                    StoredValues.write(
+                    StoredValueCodec.write(
                             new AcceptedSubmission(submission, route, service, unixMillis));
             String key = CellKeys.submission(request.id());
             this.commit =
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.damasktiller.node.cluster.Cluster;
 import org.damasktiller.scheduler.cell.CellKeys;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.model.SubmissionRecord;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.port.Commit;
@@ -137,7 +137,7 @@
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         SubmissionRecord record =
-                item == null ? null : StoredValues.read(item.value(), SubmissionRecord.class);
+                item == null ? null : StoredValueCodec.read(item.value(), SubmissionRecord.class);
         if (item == null || record == null) {
             again(request, cancel, answer, result.status());
         } else if (record.state().isFinal() || !cancel) {
@@ -184,7 +184,7 @@
         Commit commit =
                 new Commit()
                         .expect(CellKeys.submission(request.id()), revision)
-                        .put(CellKeys.submission(request.id()), StoredValues.write(cancelled))
+                        .put(CellKeys.submission(request.id()), StoredValueCodec.write(cancelled))
                         .remove(CellKeys.inbox(record.cell()) + request.id());
         store.commit(commit, result -> onCancelled(request, answer, result));
     }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -4,7 +4,7 @@
 import org.damasktiller.scheduler.cell.CellTerm;
 import org.damasktiller.scheduler.cell.HeadRecord;
 import org.damasktiller.scheduler.cell.OwnerRecord;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.port.Commit;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.DecisionLog;
@@ -140,7 +140,8 @@
             return;
         }
         StoreItem item = absent ? null : result.require().item();
-        HeadRecord head = item == null ? null : StoredValues.read(item.value(), HeadRecord.class);
+        HeadRecord head =
+                item == null ? null : StoredValueCodec.read(item.value(), HeadRecord.class);
         long generation = head == null ? 1 : head.generation() + 1;
         long headRevision = item == null ? StoreItem.ABSENT : item.revision();
         OwnerRecord record = new OwnerRecord(identity.node(), identity.process(), generation);
@@ -148,10 +149,11 @@
                 new Commit()
                         .expect(CellKeys.owner(cell), ownerRevision)
                         .expect(CellKeys.head(cell), headRevision)
-                        .put(CellKeys.owner(cell), StoredValues.write(record), session.lease())
+                        .put(CellKeys.owner(cell), StoredValueCodec.write(record), session.lease())
                         .put(
                                 CellKeys.head(cell),
-                                StoredValues.write(new HeadRecord(generation, 0, identity.node())));
+                                StoredValueCodec.write(
+                                        new HeadRecord(generation, 0, identity.node())));
         store.commit(commit, reply -> onCommitted(reply, record));
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
@@ -7,7 +7,7 @@
 import org.damasktiller.scheduler.cell.CellOwner;
 import org.damasktiller.scheduler.cell.CellSettings;
 import org.damasktiller.scheduler.cell.CellTerm;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.port.AdviceCalls;
@@ -232,7 +232,7 @@
                             parts.session().distanceMillis() <= NEAR_MILLIS);
             parts.store()
                     .commit(
-                            new Commit().put(key, StoredValues.write(record), lease),
+                            new Commit().put(key, StoredValueCodec.write(record), lease),
                             result -> onAnnounced(result.status()));
         }
         long pause = announcedMillis < 0 ? CONSIDER_MILLIS : ANNOUNCE_MILLIS;
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -7,8 +7,8 @@
 import org.damasktiller.scheduler.cell.CellKeys;
 import org.damasktiller.scheduler.cell.OwnerRecord;
 import org.damasktiller.scheduler.cell.PendingRecord;
-import org.damasktiller.scheduler.cell.PrefixWatch;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.PrefixWatcher;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.ProcessRuntime;
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** What all processes publish: who lives, who owns which cell, and how much waits there. */
-public final class ClusterView implements PrefixWatch.Listener {
+public final class ClusterView implements PrefixWatcher.Listener {
 
     /** The prefix of the keys by which processes show that they live. */
     static final String NODES = CellKeys.PUBLISHED + "node/";
@@ -26,7 +26,7 @@
     private static final long GROUPING_MILLIS = 40;
 
     /** The watch. */
-    private final PrefixWatch watch;
+    private final PrefixWatcher watch;
 
     /** Told of each change of an owner or a node. */
     private final Runnable changed;
@@ -55,7 +55,7 @@
             MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changed) {
         this.changed = changed;
         this.watch =
-                new PrefixWatch(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatcher(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
     }
 
     /** Begins to follow. */
@@ -136,19 +136,19 @@
     private void put(StoreItem item) {
         String key = item.key();
         if (key.startsWith(CellKeys.OWNERS)) {
-            OwnerRecord record = StoredValues.read(item.value(), OwnerRecord.class);
+            OwnerRecord record = StoredValueCodec.read(item.value(), OwnerRecord.class);
             if (record != null) {
                 owners.put(
                         key.substring(CellKeys.OWNERS.length()),
                         new Owner(record, item.revision()));
             }
         } else if (key.startsWith(CellKeys.PENDING)) {
-            PendingRecord record = StoredValues.read(item.value(), PendingRecord.class);
+            PendingRecord record = StoredValueCodec.read(item.value(), PendingRecord.class);
             if (record != null) {
                 pending.put(key.substring(CellKeys.PENDING.length()), record);
             }
         } else if (key.startsWith(NODES)) {
-            NodeRecord record = StoredValues.read(item.value(), NodeRecord.class);
+            NodeRecord record = StoredValueCodec.read(item.value(), NodeRecord.class);
             if (record != null) {
                 nodes.put(key.substring(NODES.length()), record);
             }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.damasktiller.scheduler.cell.PrefixWatch;
+import org.damasktiller.scheduler.cell.PrefixWatcher;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Follows the operator's manifest; the version in force never falls. */
-public final class ManifestFollower implements PrefixWatch.Listener {
+public final class ManifestFollower implements PrefixWatcher.Listener {
 
     /** The pause between a change and the next call of the watch, in milliseconds. */
     private static final long GROUPING_MILLIS = 20;
@@ -28,7 +28,7 @@
     private final Consumer<Manifest> listener;
 
     /** The watch. */
-    private final PrefixWatch watch;
+    private final PrefixWatcher watch;
 
     /** The manifest in force, or null before the first. */
     private @Nullable Manifest manifest;
@@ -55,7 +55,8 @@
         this.log = log;
         this.listener = listener;
         this.watch =
-                new PrefixWatch(formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatcher(
+                        formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
     }
 
     /** Begins to follow. */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -14,7 +14,7 @@
  * workers with enough free capacity, and leaves out workers that have a valid ticket or that the
  * service has already ruled out for the step.
  */
-final class AdviceDesk {
+final class AdviceTicketProvider {
 
     /**
      * The most workers in one call; a longer call would use up too much of a submission's
@@ -32,7 +32,7 @@
     private static final long MARGIN_MILLIS = 250;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Sends the requests to the advice service. */
     private final AdviceCalls calls;
@@ -49,12 +49,12 @@
     /**
      * Creates a provider that has requested nothing yet.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param calls sends the requests to the advice service
      * @param changed called when the service has answered a request
      */
-    AdviceDesk(CellCore core, AdviceCalls calls, Runnable changed) {
-        this.core = core;
+    AdviceTicketProvider(CellContext context, AdviceCalls calls, Runnable changed) {
+        this.context = context;
         this.calls = calls;
         this.changed = changed;
     }
@@ -66,7 +66,7 @@
      * @return true if its route requires advice; false also if the manifest no longer has the route
      */
     boolean needed(StepRecord step) {
-        Route route = core.manifest.byName(step.occurrence.job.accepted.route());
+        Route route = context.manifest.byName(step.occurrence.job.accepted.route());
         return route != null && route.adviceNeeded();
     }
 
@@ -79,7 +79,7 @@
      */
     String ticket(StepRecord step, WorkerRecord worker) {
         AdviceTicket ticket = step.tickets.get(worker.id);
-        return ticket != null && ticket.usable(worker, core.now()) ? ticket.text() : "";
+        return ticket != null && ticket.usable(worker, context.now()) ? ticket.text() : "";
     }
 
     /**
@@ -89,12 +89,12 @@
      * @param step the step
      */
     void ask(StepRecord step) {
-        long now = core.now();
+        long now = context.now();
         if (asking || now < notBeforeMillis) {
             return;
         }
         List<WorkerRecord> candidates = new ArrayList<>();
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             boolean fits = worker.free().covers(step.spec.reserved());
             boolean open = !step.unadvised.contains(worker.id) && ticket(step, worker).isEmpty();
             if (fits && open && worker.usable(now)) {
@@ -127,11 +127,11 @@
     private void onReply(
             StepRecord step, String name, List<WorkerRecord> named, AdviceReply reply) {
         asking = false;
-        if (core.over) {
+        if (context.over) {
             return;
         }
-        long now = core.now();
-        core.log.log(
+        long now = context.now();
+        context.log.log(
                 "advice.answered",
                 "step",
                 name,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellCore.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -17,7 +17,7 @@
  * Holds the state that the components of a cell's owner share: the open jobs, the workers, the
  * term, and the ports to the store, the workers and the clock.
  */
-final class CellCore {
+final class CellContext {
 
     /** The name of the cell. */
     final String cell;
@@ -41,7 +41,7 @@
     final DecisionLog log;
 
     /** Computes when the leases of workers expire. */
-    final LeaseClock leases;
+    final LeaseCalculator leases;
 
     /** The open submissions, by submission identifier. */
     final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -88,7 +88,7 @@
      * @param term the term for which this node owns the cell
      * @param ended called once with the reason when the term ends
      */
-    CellCore(CellEnvironment environment, String cell, CellTerm term, Consumer<String> ended) {
+    CellContext(CellEnvironment environment, String cell, CellTerm term, Consumer<String> ended) {
         this.cell = cell;
         this.term = term;
         this.settings = environment.settings();
@@ -97,7 +97,7 @@
         this.runtime = environment.runtime();
         this.log = environment.log();
         this.manifest = environment.manifest();
-        this.leases = new LeaseClock(settings);
+        this.leases = new LeaseCalculator(settings);
         this.ended = ended;
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -35,19 +35,19 @@
     private static final long MISSED_LOOK_MILLIS = 400;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Verifies that this process still owns the cell. */
-    private final OwnershipProof proof;
+    private final OwnershipVerifier ownership;
 
     /** Commits changes of jobs and of the roster. */
-    private final CommitLoop commits;
+    private final CommitQueue commits;
 
     /** Applies run ends to jobs. */
     private final JobBook book;
 
     /** Polls the workers. */
-    private final WorkerLooks looks;
+    private final WorkerPoller poller;
 
     /** Throttles fillers. */
     private final FillerControl fillers;
@@ -56,16 +56,16 @@
     private final StragglerControl stragglers;
 
     /** Moves work off draining workers. */
-    private final DrainControl drains;
+    private final DrainController drainController;
 
     /** Starts waiting tasks. */
     private final StartPass pass;
 
     /** Watches the open submissions. */
-    private final Inbox inbox;
+    private final SubmissionWatcher submissionWatcher;
 
     /** Watches the worker entries. */
-    private final WorkerList workerList;
+    private final WorkerEntryWatcher workerWatcher;
 
     /** Whether the submissions, the progress and the roster have been read. */
     private boolean loaded;
@@ -91,34 +91,36 @@
             CellTerm term,
             Predicate<WorkerEntry> member,
             Consumer<String> ended) {
-        core = new CellCore(environment, cell, term, reason -> ended(reason, ended));
+        context = new CellContext(environment, cell, term, reason -> ended(reason, ended));
         RunTimes runTimes = new RunTimes();
-        proof = new OwnershipProof(core, this::planPass);
-        RunOrders orders = new RunOrders(core, this::planPass, this::fenced);
-        commits = new CommitLoop(core, new Commits());
-        book = new JobBook(core, commits, orders, runTimes);
-        looks = new WorkerLooks(core, book, orders, new Looks());
-        fillers = new FillerControl(core, orders, new PairEffects());
-        AdviceDesk advice = new AdviceDesk(core, environment.advice(), this::planPass);
-        Placement placement = new Placement(core, fillers, advice);
-        stragglers = new StragglerControl(core, placement, orders, runTimes);
-        drains = new DrainControl(core, orders, runTimes);
-        pass = new StartPass(core, placement, orders, runTimes, advice, proof);
-        inbox = new Inbox(core, new Submissions());
-        workerList = new WorkerList(core, environment.formats(), member, new Workers());
+        ownership = new OwnershipVerifier(context, this::planPass);
+        RunOrders orders = new RunOrders(context, this::planPass, this::fenced);
+        commits = new CommitQueue(context, new Commits());
+        book = new JobBook(context, commits, orders, runTimes);
+        poller = new WorkerPoller(context, book, orders, new Looks());
+        fillers = new FillerControl(context, orders, new PairEffects());
+        AdviceTicketProvider advice =
+                new AdviceTicketProvider(context, environment.advice(), this::planPass);
+        Placement placement = new Placement(context, fillers, advice);
+        stragglers = new StragglerControl(context, placement, orders, runTimes);
+        drainController = new DrainController(context, orders, runTimes);
+        pass = new StartPass(context, placement, orders, runTimes, advice, ownership);
+        submissionWatcher = new SubmissionWatcher(context, new Submissions());
+        workerWatcher =
+                new WorkerEntryWatcher(context, environment.formats(), member, new Workers());
     }
 
     /** Starts to load the cell; tasks are scheduled once all records have been read. */
     public void start() {
-        core.log.log(
+        context.log.log(
                 "owner.began",
                 "cell",
-                core.cell,
+                context.cell,
                 "generation",
-                core.term.generation(),
+                context.term.generation(),
                 "headRevision",
-                core.term.headRevision());
-        inbox.start();
+                context.term.headRevision());
+        submissionWatcher.start();
     }
 
     /**
@@ -127,7 +129,7 @@
      * @param manifest the new manifest
      */
     public void manifest(Manifest manifest) {
-        core.manifest = manifest;
+        context.manifest = manifest;
     }
 
     /**
@@ -136,7 +138,7 @@
      * @param reason why the term ends, for the log
      */
     public void stop(String reason) {
-        core.end(reason);
+        context.end(reason);
     }
 
     /**
@@ -146,8 +148,8 @@
      * @return the state, or null if the submission is not open in this cell or the term has ended
      */
     public @Nullable SubmissionState state(String id) {
-        Job job = core.jobs.get(id);
-        return job == null || core.over ? null : job.state;
+        Job job = context.jobs.get(id);
+        return job == null || context.over ? null : job.state;
     }
 
     /**
@@ -157,8 +159,8 @@
      * @param listener called with the reason
      */
     private void ended(String reason, Consumer<String> listener) {
-        inbox.close();
-        workerList.close();
+        submissionWatcher.close();
+        workerWatcher.close();
         listener.accept(reason);
     }
 
@@ -167,26 +169,26 @@
      * have.
      */
     private void fenced() {
-        core.end("a worker has seen a higher fencing token");
+        context.end("a worker has seen a higher fencing token");
     }
 
     /** Reads the stored progress, then the roster, then the worker entries. */
     private void loadProgress() {
         ProgressReader reader = new ProgressReader();
-        reader.watch =
-                new PrefixWatch(
-                        CellKeys.progress(core.cell),
+        reader.watcher =
+                new PrefixWatcher(
+                        CellKeys.progress(context.cell),
                         0,
-                        core.store,
-                        core.runtime,
-                        core.log,
+                        context.store,
+                        context.runtime,
+                        context.log,
                         reader);
-        reader.watch.start();
+        reader.watcher.start();
     }
 
     /** Reads the roster, which lists the workers that previous owners used. */
     private void loadRoster() {
-        core.store.read(CellKeys.roster(core.cell), this::onRoster);
+        context.store.read(CellKeys.roster(context.cell), this::onRoster);
     }
 
     /**
@@ -195,33 +197,33 @@
      * @param result the reading of the roster
      */
     private void onRoster(StoreResult<StoreReading> result) {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            core.schedule(RETRY_MILLIS, this::loadRoster);
+            context.schedule(RETRY_MILLIS, this::loadRoster);
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         RosterRecord roster =
-                item == null ? null : StoredValues.read(item.value(), RosterRecord.class);
+                item == null ? null : StoredValueCodec.read(item.value(), RosterRecord.class);
         if (roster != null) {
-            core.unsettled.addAll(roster.workers());
+            context.unsettled.addAll(roster.workers());
         }
         loaded = true;
-        core.log.log(
+        context.log.log(
                 "owner.loaded",
                 "cell",
-                core.cell,
+                context.cell,
                 "jobs",
-                core.jobs.size(),
+                context.jobs.size(),
                 "roster",
-                core.unsettled.size(),
+                context.unsettled.size(),
                 "millis",
-                core.now() - core.term.beganMillis());
+                context.now() - context.term.beganMillis());
         settle();
-        workerList.start();
-        proof.start();
+        workerWatcher.start();
+        ownership.start();
         tick();
         publish();
     }
@@ -231,17 +233,17 @@
      * gone, and schedules a pass.
      */
     private void tick() {
-        long now = core.now();
+        long now = context.now();
         boolean changed = false;
-        for (WorkerRecord worker : new ArrayList<>(core.allWorkers())) {
-            looks.expire(worker);
-            drains.judge(worker);
+        for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
+            poller.expire(worker);
+            drainController.judge(worker);
             boolean gone =
                     !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
             if (gone) {
-                core.workers.remove(worker.id);
-                core.unsettled.remove(worker.id);
-                core.log.log("worker.gone", "worker", worker.id);
+                context.workers.remove(worker.id);
+                context.unsettled.remove(worker.id);
+                context.log.log("worker.gone", "worker", worker.id);
                 changed = true;
             }
         }
@@ -250,7 +252,7 @@
         }
         settle();
         planPass();
-        core.schedule(core.settings.passIntervalMillis() * 2, this::tick);
+        context.schedule(context.settings.passIntervalMillis() * 2, this::tick);
     }
 
     /**
@@ -258,21 +260,21 @@
      * from before this term may be scheduled and the run ends of previous owners acknowledged.
      */
     private void settle() {
-        if (core.settled || !loaded) {
+        if (context.settled || !loaded) {
             return;
         }
-        boolean over = core.now() >= core.leases.formerLeasesOver(core.term.beganMillis());
-        if (over || core.unsettled.isEmpty()) {
-            core.settled = true;
-            core.log.log(
+        boolean over = context.now() >= context.leases.formerLeasesOver(context.term.beganMillis());
+        if (over || context.unsettled.isEmpty()) {
+            context.settled = true;
+            context.log.log(
                     "owner.settled",
                     "cell",
-                    core.cell,
+                    context.cell,
                     "byTime",
-                    !core.unsettled.isEmpty(),
+                    !context.unsettled.isEmpty(),
                     "millis",
-                    core.now() - core.term.beganMillis());
-            core.unsettled.clear();
+                    context.now() - context.term.beganMillis());
+            context.unsettled.clear();
             commits.acknowledge();
             planPass();
         }
@@ -283,9 +285,9 @@
      * yet.
      */
     private void planPass() {
-        if (!passPlanned && loaded && !core.over) {
+        if (!passPlanned && loaded && !context.over) {
             passPlanned = true;
-            core.schedule(
+            context.schedule(
                     1,
                     () -> {
                         passPlanned = false;
@@ -302,9 +304,11 @@
         if (!counts.equals(published)) {
             published = counts;
             Commit commit = new Commit();
-            commit.expect(CellKeys.owner(core.cell), core.term.headRevision());
-            commit.put(CellKeys.pending(core.cell), StoredValues.write(new PendingRecord(counts)));
-            core.store.commit(
+            commit.expect(CellKeys.owner(context.cell), context.term.headRevision());
+            commit.put(
+                    CellKeys.pending(context.cell),
+                    StoredValueCodec.write(new PendingRecord(counts)));
+            context.store.commit(
                     commit,
                     result -> {
                         if (result.status() != StoreStatus.OK) {
@@ -312,11 +316,11 @@
                         }
                     });
         }
-        core.schedule(PUBLISH_MILLIS, this::publish);
+        context.schedule(PUBLISH_MILLIS, this::publish);
     }
 
     /** Applies the effects of commits. */
-    private final class Commits implements CommitLoop.Listener {
+    private final class Commits implements CommitQueue.Listener {
 
         @Override
         public void onTaken(Job job) {
@@ -330,19 +334,19 @@
 
         @Override
         public void onAcknowledgeable(WorkerRecord worker) {
-            looks.look(worker);
+            poller.look(worker);
         }
     }
 
     /** Applies the results of polls. */
-    private final class Looks implements WorkerLooks.Listener {
+    private final class Looks implements WorkerPoller.Listener {
 
         @Override
         public void onLook(WorkerRecord worker, boolean first) {
             if (first) {
-                core.unsettled.remove(worker.id);
+                context.unsettled.remove(worker.id);
                 settle();
-                proof.renew();
+                ownership.renew();
             }
             fillers.judge(worker);
             stragglers.judge(worker);
@@ -355,12 +359,12 @@
                 fenced();
             }
             worker.avoidUntilMillis =
-                    Math.max(worker.avoidUntilMillis, core.now() + MISSED_LOOK_MILLIS);
+                    Math.max(worker.avoidUntilMillis, context.now() + MISSED_LOOK_MILLIS);
         }
     }
 
     /** Applies new and cancelled submissions. */
-    private final class Submissions implements Inbox.Listener {
+    private final class Submissions implements SubmissionWatcher.Listener {
 
         @Override
         public void onSnapshot() {
@@ -371,17 +375,17 @@
 
         @Override
         public void onSubmission(Job job) {
-            core.jobs.put(job.id(), job);
-            core.log.log(
+            context.jobs.put(job.id(), job);
+            context.log.log(
                     "job.taken",
                     "id",
                     job.id(),
                     "cell",
-                    core.cell,
+                    context.cell,
                     "revision",
                     job.createdRevision);
             if (loaded) {
-                proof.renew();
+                ownership.renew();
             }
         }
 
@@ -393,46 +397,46 @@
     }
 
     /** Applies new and changed workers. */
-    private final class Workers implements WorkerList.Listener {
+    private final class Workers implements WorkerEntryWatcher.Listener {
 
         @Override
         public void onSnapshot() {
-            core.log.log("workers.read", "cell", core.cell, "count", core.workers.size());
+            context.log.log("workers.read", "cell", context.cell, "count", context.workers.size());
         }
 
         @Override
         public void onNew(WorkerRecord worker) {
             commits.changeRoster();
-            looks.look(worker);
+            poller.look(worker);
         }
 
         @Override
         public void onUpdate(WorkerRecord worker, WorkerEntry before) {
             long born = worker.entry.bornUnixMillis();
             if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
-                looks.restarted(worker, born);
+                poller.restarted(worker, born);
             }
-            looks.look(worker);
+            poller.look(worker);
         }
     }
 
     /** Restores the jobs from a single reading of the stored progress. */
-    private final class ProgressReader implements PrefixWatch.Listener {
+    private final class ProgressReader implements PrefixWatcher.Listener {
 
         /**
          * Reads the progress records; closed after the first snapshot. Null only before it is set.
          */
-        private @Nullable PrefixWatch watch;
+        private @Nullable PrefixWatcher watcher;
 
         @Override
         public void onSnapshot(List<StoreItem> items, long highestRevision) {
-            if (watch != null) {
-                watch.close();
+            if (watcher != null) {
+                watcher.close();
             }
-            String prefix = CellKeys.progress(core.cell);
+            String prefix = CellKeys.progress(context.cell);
             for (StoreItem item : items) {
-                Job job = core.jobs.get(item.key().substring(prefix.length()));
-                ProgressRecord progress = StoredValues.read(item.value(), ProgressRecord.class);
+                Job job = context.jobs.get(item.key().substring(prefix.length()));
+                ProgressRecord progress = StoredValueCodec.read(item.value(), ProgressRecord.class);
                 if (job != null && progress != null) {
                     progress.restore(job);
                     job.progressStored = true;
@@ -443,7 +447,7 @@
 
         @Override
         public void onChange(StoreEvent event) {
-            core.log.log("progress.ignored", "key", event.key());
+            context.log.log("progress.ignored", "key", event.key());
         }
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -22,7 +22,7 @@
  * batch replaces the head key on condition of its revision, so that a batch fails if it arrives
  * late or was sent by a previous owner.
  */
-final class CommitLoop {
+final class CommitQueue {
 
     /**
      * The most rows of a transaction, given by the platform's documentation; each condition, write
@@ -40,7 +40,7 @@
     private static final long RETRY_MILLIS = 60;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Called when a change is stored or a job turns out to be cancelled. */
     private final Listener listener;
@@ -69,13 +69,13 @@
     /**
      * Creates an empty queue.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param listener called when a change is stored or a job turns out to be cancelled
      */
-    CommitLoop(CellCore core, Listener listener) {
-        this.core = core;
+    CommitQueue(CellContext context, Listener listener) {
+        this.context = context;
         this.listener = listener;
-        this.headRevision = core.term.headRevision();
+        this.headRevision = context.term.headRevision();
     }
 
     /**
@@ -108,12 +108,12 @@
 
     /** Schedules the next batch unless one is scheduled or in flight. */
     private void plan() {
-        if (planned || group != null || core.over) {
+        if (planned || group != null || context.over) {
             return;
         }
         planned = true;
-        long wait = sentAtMillis + core.settings.commitIntervalMillis() - core.now();
-        core.schedule(Math.max(1, wait), this::send);
+        long wait = sentAtMillis + context.settings.commitIntervalMillis() - context.now();
+        context.schedule(Math.max(1, wait), this::send);
     }
 
     /** Builds the next batch from the queued changes and sends it. */
@@ -125,12 +125,12 @@
         sequence++;
         Group next = new Group(sequence);
         Commit commit = next.commit;
-        commit.expect(CellKeys.head(core.cell), headRevision);
+        commit.expect(CellKeys.head(context.cell), headRevision);
         commit.put(
-                CellKeys.head(core.cell),
-                StoredValues.write(
+                CellKeys.head(context.cell),
+                StoredValueCodec.write(
                         new HeadRecord(
-                                core.term.generation(), sequence, core.term.owner().node())));
+                                context.term.generation(), sequence, context.term.owner().node())));
         if (rosterChanged) {
             rosterChanged = false;
             addRoster(next);
@@ -156,13 +156,14 @@
      * @param next the batch
      */
     private void addRoster(Group next) {
-        Set<String> ids = new TreeSet<>(core.unsettled);
-        for (WorkerRecord worker : core.allWorkers()) {
+        Set<String> ids = new TreeSet<>(context.unsettled);
+        for (WorkerRecord worker : context.allWorkers()) {
             ids.add(worker.id);
             next.enrolled.add(worker);
         }
         next.commit.put(
-                CellKeys.roster(core.cell), StoredValues.write(new RosterRecord(List.copyOf(ids))));
+                CellKeys.roster(context.cell),
+                StoredValueCodec.write(new RosterRecord(List.copyOf(ids))));
     }
 
     /**
@@ -173,23 +174,23 @@
      * @param job the job
      */
     private void add(Commit commit, Job job) {
-        String progress = CellKeys.progress(core.cell) + job.id();
+        String progress = CellKeys.progress(context.cell) + job.id();
         if (!job.state.isFinal()) {
             job.progressStored = true;
-            commit.put(progress, StoredValues.write(ProgressRecord.of(job)));
+            commit.put(progress, StoredValueCodec.write(ProgressRecord.of(job)));
             return;
         }
         String key = CellKeys.submission(job.id());
         commit.expect(key, job.createdRevision);
         commit.put(
                 key,
-                StoredValues.write(
+                StoredValueCodec.write(
                         new SubmissionRecord(
-                                core.cell,
+                                context.cell,
                                 job.accepted.route(),
                                 job.state,
-                                core.runtime.unixMillis())));
-        commit.remove(CellKeys.inbox(core.cell) + job.id());
+                                context.runtime.unixMillis())));
+        commit.remove(CellKeys.inbox(context.cell) + job.id());
         if (job.progressStored) {
             commit.remove(progress);
         }
@@ -198,11 +199,11 @@
     /** Sends the current batch, for the first time or again after a failure. */
     private void dispatch() {
         Group sent = group;
-        if (sent == null || core.over) {
+        if (sent == null || context.over) {
             return;
         }
-        sentAtMillis = core.now();
-        core.store.commit(sent.commit, result -> onReply(sent, result));
+        sentAtMillis = context.now();
+        context.store.commit(sent.commit, result -> onReply(sent, result));
     }
 
     /**
@@ -212,14 +213,14 @@
      * @param result the answer
      */
     private void onReply(Group sent, StoreResult<CommitReply> result) {
-        if (core.over || group != sent) {
+        if (context.over || group != sent) {
             return;
         }
         switch (result.status()) {
             case OK -> finish(sent, result.require().revision());
             case CONFLICT -> resolve(sent, result.value());
-            case UNKNOWN -> core.schedule(RETRY_MILLIS, () -> readHead(sent));
-            default -> core.schedule(RETRY_MILLIS, this::dispatch);
+            case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(sent));
+            default -> context.schedule(RETRY_MILLIS, this::dispatch);
         }
     }
 
@@ -232,10 +233,10 @@
      * @param reply the current items, or null if the answer did not include them
      */
     private void resolve(Group sent, @Nullable CommitReply reply) {
-        core.log.log(
+        context.log.log(
                 "commit.conflict",
                 "cell",
-                core.cell,
+                context.cell,
                 "sequence",
                 sent.sequence,
                 "jobs",
@@ -244,7 +245,7 @@
                 sent.commit.expected().size(),
                 "told",
                 reply == null ? 0 : reply.current().size());
-        if (reply == null || reply.currentRevision(CellKeys.head(core.cell)) != headRevision) {
+        if (reply == null || reply.currentRevision(CellKeys.head(context.cell)) != headRevision) {
             readHead(sent);
             return;
         }
@@ -268,7 +269,7 @@
      * @param job the finished job
      */
     private void verify(Job job) {
-        core.store.read(CellKeys.submission(job.id()), result -> onRecord(job, result));
+        context.store.read(CellKeys.submission(job.id()), result -> onRecord(job, result));
     }
 
     /**
@@ -279,12 +280,12 @@
      * @param result the reading of its record
      */
     private void onRecord(Job job, StoreResult<StoreReading> result) {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         boolean absent = result.status() == StoreStatus.ABSENT;
         if (result.status() != StoreStatus.OK && !absent) {
-            core.schedule(RETRY_MILLIS, () -> verify(job));
+            context.schedule(RETRY_MILLIS, () -> verify(job));
             return;
         }
         StoreItem item = absent ? null : result.require().item();
@@ -304,8 +305,8 @@
      * @param sent the batch whose outcome is unknown
      */
     private void readHead(Group sent) {
-        if (!core.over && group == sent) {
-            core.store.read(CellKeys.head(core.cell), result -> onHead(sent, result));
+        if (!context.over && group == sent) {
+            context.store.read(CellKeys.head(context.cell), result -> onHead(sent, result));
         }
     }
 
@@ -317,23 +318,24 @@
      * @param result the reading of the head
      */
     private void onHead(Group sent, StoreResult<StoreReading> result) {
-        if (core.over || group != sent) {
+        if (context.over || group != sent) {
             return;
         }
         if (result.status() != StoreStatus.OK) {
-            core.schedule(RETRY_MILLIS, () -> readHead(sent));
+            context.schedule(RETRY_MILLIS, () -> readHead(sent));
             return;
         }
         StoreItem item = result.require().item();
-        HeadRecord head = item == null ? null : StoredValues.read(item.value(), HeadRecord.class);
-        if (item == null || head == null || head.generation() != core.term.generation()) {
-            core.end("the head belongs to another generation");
+        HeadRecord head =
+                item == null ? null : StoredValueCodec.read(item.value(), HeadRecord.class);
+        if (item == null || head == null || head.generation() != context.term.generation()) {
+            context.end("the head belongs to another generation");
         } else if (head.sequence() == sent.sequence) {
             finish(sent, item.revision());
         } else if (item.revision() == headRevision) {
             dispatch();
         } else {
-            core.end("the head was changed by another process of this generation");
+            context.end("the head was changed by another process of this generation");
         }
     }
 
@@ -365,10 +367,10 @@
 
     /** Advances the acknowledgements of all workers over the run ends whose effects are stored. */
     void acknowledge() {
-        Collection<WorkerRecord> workers = core.allWorkers();
+        Collection<WorkerRecord> workers = context.allWorkers();
         for (WorkerRecord worker : workers) {
             if (!worker.pendingEnds.isEmpty()) {
-                worker.advanceAcknowledgement(core.settled, core.term.runBase());
+                worker.advanceAcknowledgement(context.settled, context.term.runBase());
                 if (worker.pendingEnds.isEmpty()) {
                     listener.onAcknowledgeable(worker);
                 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -10,13 +10,13 @@
  * that they resume elsewhere from their checkpoint. All other runs may use the remaining time to
  * finish.
  */
-final class DrainControl {
+final class DrainController {
 
     /** How long before the worker leaves its checkpointing runs are stopped, in milliseconds. */
     private static final long SAVE_AHEAD_MILLIS = 1_000;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Sends the stop orders. */
     private final RunOrders orders;
@@ -27,12 +27,12 @@
     /**
      * Creates a controller.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param orders sends the stop orders
      * @param runTimes estimates the run times of steps
      */
-    DrainControl(CellCore core, RunOrders orders, RunTimes runTimes) {
-        this.core = core;
+    DrainController(CellContext context, RunOrders orders, RunTimes runTimes) {
+        this.context = context;
         this.orders = orders;
         this.runTimes = runTimes;
     }
@@ -48,7 +48,7 @@
             worker.drainingSinceMillis = RunRecord.UNKNOWN;
             return;
         }
-        long now = core.now();
+        long now = context.now();
         if (worker.drainingSinceMillis == RunRecord.UNKNOWN) {
             worker.drainingSinceMillis = now;
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
@@ -69,7 +69,7 @@
     private static final double HARMLESS = 0.6;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Sends the orders. */
     private final RunOrders orders;
@@ -80,12 +80,12 @@
     /**
      * Creates the control.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param orders sends the orders
      * @param effects what each pair of images does
      */
-    FillerControl(CellCore core, RunOrders orders, PairEffects effects) {
-        this.core = core;
+    FillerControl(CellContext context, RunOrders orders, PairEffects effects) {
+        this.context = context;
         this.orders = orders;
         this.effects = effects;
     }
@@ -96,7 +96,7 @@
      * @param worker the worker
      */
     void judge(WorkerRecord worker) {
-        long now = core.now();
+        long now = context.now();
         HarmWatch harm = worker.harm;
         long gap = now - harm.judgedAtMillis;
         if (gap < SHORTEST_GAP_MILLIS) {
@@ -163,9 +163,9 @@
                 harm.set(false, now);
                 worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
             }
-        } else if (longestOver >= core.settings.impactMillis() * PAUSE_AT) {
+        } else if (longestOver >= context.settings.impactMillis() * PAUSE_AT) {
             harm.set(true, now);
-            core.log.log("filler.pause", "worker", worker.id, "overMillis", longestOver);
+            context.log.log("filler.pause", "worker", worker.id, "overMillis", longestOver);
         }
         if (worst >= HARMED) {
             slowCulprits(worker);
@@ -244,7 +244,7 @@
                 continue;
             }
             run.wantedPercent = worker.harm.paused ? PAUSED_PERCENT : run.allowedPercent;
-            long now = core.now();
+            long now = context.now();
             boolean doubtful =
                     now < run.paceDoubtUntilMillis && now - run.pacedAtMillis >= REPEAT_MILLIS;
             if (run.percent != run.wantedPercent || doubtful) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
@@ -21,10 +21,10 @@
     private static final int LEAST_SOUND_FACTOR = 4;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Stores the changes. */
-    private final CommitLoop commits;
+    private final CommitQueue commits;
 
     /** Stops runs. */
     private final RunOrders orders;
@@ -35,13 +35,13 @@
     /**
      * Creates a book.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param commits stores the changes
      * @param orders stops runs
      * @param runTimes the figures of run times
      */
-    JobBook(CellCore core, CommitLoop commits, RunOrders orders, RunTimes runTimes) {
-        this.core = core;
+    JobBook(CellContext context, CommitQueue commits, RunOrders orders, RunTimes runTimes) {
+        this.context = context;
         this.commits = commits;
         this.orders = orders;
         this.runTimes = runTimes;
@@ -54,7 +54,7 @@
      * @return the task, or null if the submission is not open or has no such task
      */
     @Nullable TaskRecord find(TaskId id) {
-        Job job = core.jobs.get(id.submission());
+        Job job = context.jobs.get(id.submission());
         return job == null || job.state.isFinal() ? null : job.find(id);
     }
 
@@ -86,7 +86,7 @@
         if (record != null) {
             worker.remove(record);
         }
-        Job job = core.jobs.get(end.task().submission());
+        Job job = context.jobs.get(end.task().submission());
         TaskRecord task = find(end.task());
         if (job == null || task == null) {
             return new PendingEnd(end.sequence(), end.run(), job, job == null ? 0 : job.version);
@@ -98,7 +98,7 @@
         if (news && !task.done) {
             started(task);
             noteConduct(job, worker, record, end);
-            core.log.log(
+            context.log.log(
                     "run.ended",
                     "task",
                     end.task(),
@@ -126,7 +126,7 @@
     void lost(RunRecord record, String reason) {
         record.worker.remove(record);
         TaskRecord task = record.task;
-        core.log.log(
+        context.log.log(
                 "run.lost",
                 "task",
                 record.id,
@@ -148,10 +148,10 @@
      * @param job the job
      */
     void cancel(Job job) {
-        core.log.log("job.cancelled", "id", job.id(), "cell", core.cell);
+        context.log.log("job.cancelled", "id", job.id(), "cell", context.cell);
         job.state = SubmissionState.CANCELLED;
         commits.forget(job);
-        core.remove(job);
+        context.remove(job);
         stopAll(job);
     }
 
@@ -161,19 +161,19 @@
      * @param job the job
      */
     void close(Job job) {
-        core.remove(job);
-        core.log.log(
+        context.remove(job);
+        context.log.log(
                 "job.closed",
                 "route",
                 job.accepted.route(),
                 "id",
                 job.id(),
                 "cell",
-                core.cell,
+                context.cell,
                 "state",
                 job.state,
                 "millis",
-                core.now() - job.seenMillis);
+                context.now() - job.seenMillis);
     }
 
     /**
@@ -183,7 +183,7 @@
      */
     Map<String, Integer> pending() {
         Map<String, Integer> counts = new TreeMap<>();
-        for (Job job : core.jobs.values()) {
+        for (Job job : context.jobs.values()) {
             if (job.state == SubmissionState.QUEUED) {
                 counts.merge(job.accepted.route(), 1, Integer::sum);
             }
@@ -292,7 +292,7 @@
         if (end.kind() == EndKind.DONE) {
             worker.conduct.done();
             if (record != null && record.task != null && record.undisturbed()) {
-                runTimes.observe(record.task.step.spec, core.now() - record.sinceMillis);
+                runTimes.observe(record.task.step.spec, context.now() - record.sinceMillis);
             }
         } else if (end.kind() == EndKind.FAILED) {
             noteFailure(job, worker);
@@ -309,12 +309,12 @@
     private void noteFailure(Job job, WorkerRecord worker) {
         boolean elsewhere = job.failedAt.stream().anyMatch(id -> !id.equals(worker.id));
         job.failedAt.add(worker.id);
-        long now = core.now();
+        long now = context.now();
         long suspects =
-                core.allWorkers().stream().filter(other -> other.conduct.suspect(now)).count();
-        boolean many = (suspects + 1) * LEAST_SOUND_FACTOR > core.allWorkers().size();
+                context.allWorkers().stream().filter(other -> other.conduct.suspect(now)).count();
+        boolean many = (suspects + 1) * LEAST_SOUND_FACTOR > context.allWorkers().size();
         if (!elsewhere && !many && worker.conduct.failed(job.id(), now)) {
-            core.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
+            context.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
         }
     }
 
@@ -331,7 +331,7 @@
         } else {
             return;
         }
-        core.log.log("job.over", "id", job.id(), "state", job.state);
+        context.log.log("job.over", "id", job.id(), "state", job.state);
         stopAll(job);
     }
 
@@ -376,7 +376,7 @@
      * @return the number of attempts
      */
     int attempts(Job job) {
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = context.manifest.byName(job.accepted.route());
         return route == null ? DEFAULT_ATTEMPTS : Math.max(1, route.maximumAttempts());
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseClock.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -10,7 +10,7 @@
  * all earlier leases have expired, however long its predecessor was paused between computing a
  * lease and sending it.
  */
-final class LeaseClock {
+final class LeaseCalculator {
 
     /**
      * The lowest rate of a worker's clock relative to the owner's, given by the platform's
@@ -29,7 +29,7 @@
      *
      * @param settings the lease and authority times
      */
-    LeaseClock(CellSettings settings) {
+    LeaseCalculator(CellSettings settings) {
         this.settings = settings;
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipProof.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipVerifier.java
@@ -11,10 +11,10 @@
  * cell, and ends the term if it does not. A successful renewal of the store lease would not be
  * enough: another process may have replaced or removed the key although the lease lives.
  */
-final class OwnershipProof {
+final class OwnershipVerifier {
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** The value that the owner key must have. */
     private final byte[] expected;
@@ -37,24 +37,24 @@
     /**
      * Creates a verifier that has not started.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param proven called after each successful check
      */
-    OwnershipProof(CellCore core, Runnable proven) {
-        this.core = core;
-        this.expected = StoredValues.write(core.term.owner());
+    OwnershipVerifier(CellContext context, Runnable proven) {
+        this.context = context;
+        this.expected = StoredValueCodec.write(context.term.owner());
         this.proven = proven;
     }
 
     /** Checks the ownership now and at regular intervals from then on. */
     void start() {
         renew();
-        core.schedule(core.settings.confirmIntervalMillis(), this::start);
+        context.schedule(context.settings.confirmIntervalMillis(), this::start);
     }
 
     /** Checks the ownership now, or again as soon as the check in flight has ended. */
     void renew() {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (reading) {
@@ -62,10 +62,10 @@
             return;
         }
         reading = true;
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             worker.candidateClockMillis = worker.clockMillis;
         }
-        core.store.read(CellKeys.owner(core.cell), this::onReading);
+        context.store.read(CellKeys.owner(context.cell), this::onReading);
     }
 
     /**
@@ -86,25 +86,25 @@
      */
     private void onReading(StoreResult<StoreReading> result) {
         reading = false;
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (result.status() == StoreStatus.OK) {
             judge(result.require());
         } else if (result.status() == StoreStatus.ABSENT) {
-            core.end("the owner key no longer exists");
+            context.end("the owner key no longer exists");
         } else if (!failing) {
             failing = true;
-            core.log.log(
+            context.log.log(
                     "owner.unproven",
                     "cell",
-                    core.cell,
+                    context.cell,
                     "status",
                     result.status(),
                     "reason",
                     result.reason());
         }
-        if (again && !core.over) {
+        if (again && !context.over) {
             again = false;
             renew();
         }
@@ -119,13 +119,13 @@
     private void judge(StoreReading reading) {
         StoreItem item = reading.item();
         if (item == null || !Arrays.equals(item.value(), expected)) {
-            core.end("another process owns the cell");
+            context.end("another process owns the cell");
             return;
         }
         failing = false;
         provenRevision =
                 Math.max(provenRevision, Math.max(reading.storeRevision(), item.revision()));
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             worker.provenClockMillis =
                     Math.max(worker.provenClockMillis, worker.candidateClockMillis);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
@@ -57,23 +57,23 @@
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Predicts the harm of fillers. */
     private final FillerControl fillers;
 
     /** Has the tickets of queues that need them. */
-    private final AdviceDesk advice;
+    private final AdviceTicketProvider advice;
 
     /**
      * Creates the choice.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param fillers predicts the harm of fillers
      * @param advice has the tickets of queues that need them
      */
-    Placement(CellCore core, FillerControl fillers, AdviceDesk advice) {
-        this.core = core;
+    Placement(CellContext context, FillerControl fillers, AdviceTicketProvider advice) {
+        this.context = context;
         this.advice = advice;
         this.fillers = fillers;
     }
@@ -88,7 +88,7 @@
         WorkerRecord best = null;
         double bestScore = WORST_SCORE;
         boolean adviceNeeded = advice.needed(task.step);
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             if (!allowed(task, worker, adviceNeeded)
                     || !worker.free().covers(task.step.spec.reserved())) {
                 continue;
@@ -130,7 +130,7 @@
     private List<WorkerRecord> fill(StepRecord step, String rack) {
         Map<WorkerRecord, Integer> taken = new HashMap<>();
         List<WorkerRecord> chosen = new ArrayList<>();
-        List<WorkerRecord> order = new ArrayList<>(core.allWorkers());
+        List<WorkerRecord> order = new ArrayList<>(context.allWorkers());
         order.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
         Resources need = step.spec.reserved();
         boolean adviceNeeded = advice.needed(step);
@@ -160,7 +160,7 @@
      */
     private Set<String> racks() {
         Set<String> racks = new TreeSet<>();
-        core.allWorkers().forEach(worker -> racks.addAll(worker.entry.labels()));
+        context.allWorkers().forEach(worker -> racks.addAll(worker.entry.labels()));
         return racks;
     }
 
@@ -185,7 +185,7 @@
      * @return whether it may
      */
     private boolean allowed(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
-        long now = core.now();
+        long now = context.now();
         StepSpec spec = task.step.spec;
         boolean busy =
                 now < worker.fullUntilMillis
@@ -296,7 +296,7 @@
      * @return the number of serving tasks over their target
      */
     private double bearable(TaskRecord task) {
-        long waited = task.readySinceMillis == 0 ? 0 : core.now() - task.readySinceMillis;
+        long waited = task.readySinceMillis == 0 ? 0 : context.now() - task.readySinceMillis;
         return FIRST_HARM + HARM_PER_SECOND * waited / MILLIS_PER_SECOND;
     }
 
@@ -334,9 +334,9 @@
         boolean remote =
                 !spec.dataRack().isEmpty() && !worker.entry.labels().contains(spec.dataRack());
         if (remote) {
-            score += REMOTE_DATA * (core.settings.remoteFactor() - 1);
+            score += REMOTE_DATA * (context.settings.remoteFactor() - 1);
         }
-        if (core.now() < worker.slowUntilMillis) {
+        if (context.now() < worker.slowUntilMillis) {
             score += SLOW_WORKER;
         }
         if (spec.filling()) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatch.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatcher.java
@@ -16,7 +16,7 @@
  * Watches the keys with a prefix: reads them all, then polls for changes. When the store has
  * already compacted the changes since the last call, all keys are read again.
  */
-public final class PrefixWatch {
+public final class PrefixWatcher {
 
     /**
      * How long one call waits for a change, in milliseconds; short, since an open call may report
@@ -79,7 +79,7 @@
      * @param log the log of lost and regained watches
      * @param listener called with the items and changes
      */
-    public PrefixWatch(
+    public PrefixWatcher(
             String prefix,
             long groupingMillis,
             MetadataStore store,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
@@ -29,7 +29,7 @@
     private static final long INVALID_MILLIS = 1_000;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Told when what waits or the room may have changed. */
     private final Runnable changed;
@@ -40,12 +40,12 @@
     /**
      * Creates the sender.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param changed told when what waits or the room may have changed
      * @param doubted told when a worker has seen a higher fencing token
      */
-    RunOrders(CellCore core, Runnable changed, Runnable doubted) {
-        this.core = core;
+    RunOrders(CellContext context, Runnable changed, Runnable doubted) {
+        this.context = context;
         this.changed = changed;
         this.doubted = doubted;
     }
@@ -59,7 +59,7 @@
      * @param ticket the ticket of the advice service, empty for none
      */
     void start(TaskRecord task, WorkerRecord worker, int run, String ticket) {
-        long now = core.now();
+        long now = context.now();
         task.lastRun = run;
         RunRecord record =
                 new RunRecord(
@@ -73,19 +73,19 @@
         record.checkpoint = task.checkpoint;
         record.startCheckpoint = task.checkpoint;
         worker.add(record);
-        long leaseEnd = core.leases.leaseEnd(worker, now);
-        core.leases.noteGrant(worker, leaseEnd, now);
+        long leaseEnd = context.leases.leaseEnd(worker, now);
+        context.leases.noteGrant(worker, leaseEnd, now);
         StartOrder order =
                 new StartOrder(
                         task.id,
                         run,
                         task.step.occurrence.job.accepted.submission().payload(),
                         leaseEnd,
-                        core.term.generation(),
+                        context.term.generation(),
                         task.checkpoint,
                         ticket);
         worker.ordersInFlight++;
-        core.log.log(
+        context.log.log(
                 "run.start",
                 "route",
                 task.step.occurrence.job.accepted.route(),
@@ -101,7 +101,7 @@
                 worker.free(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        core.calls.start(worker.address(), order, reply -> onStart(record, reply));
+        context.calls.start(worker.address(), order, reply -> onStart(record, reply));
     }
 
     /**
@@ -113,7 +113,7 @@
     private void onStart(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
         worker.ordersInFlight--;
-        if (core.over || worker.runs.get(record.key()) != record) {
+        if (context.over || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -123,7 +123,7 @@
             }
             return;
         }
-        core.log.log(
+        context.log.log(
                 "run.refused",
                 "task",
                 record.id,
@@ -136,7 +136,8 @@
                 "reason",
                 reply.reason());
         if (reply.status() == WorkerStatus.UNKNOWN) {
-            worker.avoidUntilMillis = Math.max(worker.avoidUntilMillis, core.now() + MUTE_MILLIS);
+            worker.avoidUntilMillis =
+                    Math.max(worker.avoidUntilMillis, context.now() + MUTE_MILLIS);
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.settledAfterLook = worker.lookNumber + 1;
@@ -156,7 +157,7 @@
      */
     private void penalise(RunRecord record, WorkerStatus status) {
         WorkerRecord worker = record.worker;
-        long now = core.now();
+        long now = context.now();
         switch (status) {
             case FENCED -> doubted.run();
             case NO_ROOM -> worker.fullUntilMillis = now + FULL_MILLIS;
@@ -184,7 +185,7 @@
     void stop(RunRecord record) {
         if (record.phase != RunPhase.STOPPING) {
             record.phase = RunPhase.STOPPING;
-            core.log.log(
+            context.log.log(
                     "run.stop", "task", record.id, "run", record.run, "worker", record.worker.id);
         }
         sendStop(record);
@@ -196,15 +197,15 @@
      * @param record the run
      */
     void sendStop(RunRecord record) {
-        if (record.stopSent || record.stopAcknowledged || core.over) {
+        if (record.stopSent || record.stopAcknowledged || context.over) {
             return;
         }
         record.stopSent = true;
-        core.calls.stop(
+        context.calls.stop(
                 record.worker.address(),
                 record.id,
                 record.run,
-                core.term.generation(),
+                context.term.generation(),
                 reply -> onStop(record, reply));
     }
 
@@ -217,7 +218,7 @@
     private void onStop(RunRecord record, WorkerReply reply) {
         record.stopSent = false;
         WorkerRecord worker = record.worker;
-        if (core.over || worker.runs.get(record.key()) != record) {
+        if (context.over || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -228,7 +229,7 @@
         if (reply.status() == WorkerStatus.FENCED) {
             doubted.run();
         }
-        core.schedule(
+        context.schedule(
                 STOP_RETRY_MILLIS,
                 () -> {
                     if (worker.runs.get(record.key()) == record) {
@@ -243,26 +244,26 @@
      * @param record the run, whose wanted share differs from the present one
      */
     void pace(RunRecord record) {
-        if (record.pacing || core.over) {
+        if (record.pacing || context.over) {
             return;
         }
         record.pacing = true;
-        record.pacedAtMillis = core.now();
+        record.pacedAtMillis = context.now();
         int wanted = record.wantedPercent;
         record.slowed |= wanted < RunRecord.FULL_PERCENT;
-        core.calls.pace(
+        context.calls.pace(
                 record.worker.address(),
                 record.id,
                 record.run,
                 wanted,
-                core.term.generation(),
+                context.term.generation(),
                 reply -> {
                     record.pacing = false;
                     if (reply.status() == WorkerStatus.OK) {
                         record.percent = wanted;
                     } else if (reply.status() == WorkerStatus.UNKNOWN) {
                         record.percent = RunRecord.UNKNOWN;
-                        record.paceDoubtUntilMillis = core.now() + LATEST_ARRIVAL_MILLIS;
+                        record.paceDoubtUntilMillis = context.now() + LATEST_ARRIVAL_MILLIS;
                     }
                 });
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
@@ -42,7 +42,7 @@
     private static final int MOST_STARTS = 64;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Chooses workers. */
     private final Placement placement;
@@ -54,10 +54,10 @@
     private final RunTimes runTimes;
 
     /** Has the tickets of queues that need them. */
-    private final AdviceDesk advice;
+    private final AdviceTicketProvider advice;
 
     /** Tells what is known to belong to this term. */
-    private final OwnershipProof proof;
+    private final OwnershipVerifier ownership;
 
     /** How many starts this pass has ordered. */
     private int started;
@@ -65,34 +65,34 @@
     /**
      * Creates a pass.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param placement chooses workers
      * @param orders sends the orders
      * @param runTimes the expected run times
      * @param advice has the tickets of queues that need them
-     * @param proof tells what is known to belong to this term
+     * @param ownership tells what is known to belong to this term
      */
     StartPass(
-            CellCore core,
+            CellContext context,
             Placement placement,
             RunOrders orders,
             RunTimes runTimes,
-            AdviceDesk advice,
-            OwnershipProof proof) {
-        this.core = core;
+            AdviceTicketProvider advice,
+            OwnershipVerifier ownership) {
+        this.context = context;
         this.placement = placement;
         this.orders = orders;
         this.runTimes = runTimes;
         this.advice = advice;
-        this.proof = proof;
+        this.ownership = ownership;
     }
 
     /** Starts what waits and has room. */
     void run() {
         started = 0;
         List<Waiting> steps = new ArrayList<>();
-        long unixLimit = core.runtime.unixMillis() + core.settings.earlyMillis();
-        for (Job job : core.jobs.values()) {
+        long unixLimit = context.runtime.unixMillis() + context.settings.earlyMillis();
+        for (Job job : context.jobs.values()) {
             if (!mayStart(job)) {
                 continue;
             }
@@ -122,10 +122,10 @@
      * @return whether they may
      */
     private boolean mayStart(Job job) {
-        if (job.state.isFinal() || !proof.covers(job.createdRevision)) {
+        if (job.state.isFinal() || !ownership.covers(job.createdRevision)) {
             return false;
         }
-        return core.settled || job.createdRevision > core.term.headRevision();
+        return context.settled || job.createdRevision > context.term.headRevision();
     }
 
     /**
@@ -135,7 +135,7 @@
      * @param steps the list to add to
      */
     private void collect(OccurrenceRecord occurrence, List<Waiting> steps) {
-        long now = core.now();
+        long now = context.now();
         for (StepRecord step : occurrence.steps) {
             if (step.done() || !step.unblocked()) {
                 continue;
@@ -173,13 +173,13 @@
         } else if (spec.filling()) {
             rank = RANK_FILLING;
         }
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = context.manifest.byName(job.accepted.route());
         double extension = route == null ? 1 : route.extension();
         long slack = route == null ? 0 : route.targetLatencyMillis();
         int priority = route == null ? 0 : route.priority();
         long chain = remaining(step);
         long objective = (long) (extension * chainOf(job)) + slack;
-        long latest = core.now() + chain - job.seenMillis;
+        long latest = context.now() + chain - job.seenMillis;
         int lateness = latest <= objective ? ON_TIME : LATE;
         if (latest > LATE_FACTOR * objective) {
             lateness = TOO_LATE;
@@ -241,7 +241,7 @@
      * @param step the step
      */
     private void startTasks(StepRecord step) {
-        long now = core.now();
+        long now = context.now();
         for (TaskRecord task : step.tasks) {
             if (!task.waiting(now)) {
                 continue;
@@ -262,7 +262,7 @@
      * @param step the step
      */
     private void startGang(StepRecord step) {
-        long now = core.now();
+        long now = context.now();
         int lastRun = 0;
         for (TaskRecord task : step.tasks) {
             if (!task.waiting(now)) {
@@ -301,7 +301,7 @@
      * @return the number
      */
     private int nextRun(int lastRun) {
-        return Math.max(lastRun, core.term.runBase()) + 1;
+        return Math.max(lastRun, context.term.runBase()) + 1;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValues.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValueCodec.java
@@ -8,14 +8,14 @@
 import org.jspecify.annotations.Nullable;
 
 /** Encodes the scheduler's records as JSON for the store, and decodes them. */
-public final class StoredValues {
+public final class StoredValueCodec {
 
     /** Ignores unknown properties, which a newer release may have written. */
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
     /** Prevents instantiation. */
-    private StoredValues() {}
+    private StoredValueCodec() {}
 
     /**
      * Encodes a value.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerControl.java
@@ -44,7 +44,7 @@
     private static final double FULL_PERCENT = 100;
 
     /** The shared part. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Tells whether another worker would take a task. */
     private final Placement placement;
@@ -58,13 +58,14 @@
     /**
      * Creates the control.
      *
-     * @param core the shared part
+     * @param context the shared part
      * @param placement tells whether another worker would take a task
      * @param orders sends the orders
      * @param runTimes the expected run times
      */
-    StragglerControl(CellCore core, Placement placement, RunOrders orders, RunTimes runTimes) {
-        this.core = core;
+    StragglerControl(
+            CellContext context, Placement placement, RunOrders orders, RunTimes runTimes) {
+        this.context = context;
         this.placement = placement;
         this.orders = orders;
         this.runTimes = runTimes;
@@ -76,7 +77,7 @@
      * @param worker the worker
      */
     void judge(WorkerRecord worker) {
-        long now = core.now();
+        long now = context.now();
         for (RunRecord run : new ArrayList<>(worker.runs.values())) {
             TaskRecord task = run.task;
             if (run.phase == RunPhase.RUNNING && task != null && sized(task.step.spec)) {
@@ -154,14 +155,14 @@
      */
     private boolean mayMove() {
         int moving = 0;
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             for (RunRecord run : worker.runs.values()) {
                 if (run.moving) {
                     moving++;
                 }
             }
         }
-        return moving < Math.max(LEAST_MOVING, core.workers.size() * MOVING_PART);
+        return moving < Math.max(LEAST_MOVING, context.workers.size() * MOVING_PART);
     }
 
     /**
@@ -181,7 +182,7 @@
         }
         task.moves++;
         run.moving = true;
-        core.log.log(
+        context.log.log(
                 "run.move",
                 "task",
                 run.id,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Inbox.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/SubmissionWatcher.java
@@ -15,7 +15,7 @@
  * Watches the keys of the cell's open submissions. A new key is a new submission. A key that is
  * removed while the job is not finished means that the caller has cancelled the submission.
  */
-final class Inbox implements PrefixWatch.Listener {
+final class SubmissionWatcher implements PrefixWatcher.Listener {
 
     /**
      * The delay between a change and the next watch call, in milliseconds, which groups changes.
@@ -26,7 +26,7 @@
     private static final long RETRY_MILLIS = 100;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Called for new and cancelled submissions. */
     private final Listener listener;
@@ -35,7 +35,7 @@
     private final String prefix;
 
     /** Reads the keys and waits for changes. */
-    private final PrefixWatch watch;
+    private final PrefixWatcher watcher;
 
     /**
      * The highest revision of the last snapshot; changes up to it may be older than the snapshot.
@@ -45,25 +45,26 @@
     /**
      * Creates a watcher that has not started.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param listener called for new and cancelled submissions
      */
-    Inbox(CellCore core, Listener listener) {
-        this.core = core;
+    SubmissionWatcher(CellContext context, Listener listener) {
+        this.context = context;
         this.listener = listener;
-        this.prefix = CellKeys.inbox(core.cell);
-        this.watch =
-                new PrefixWatch(prefix, GROUPING_MILLIS, core.store, core.runtime, core.log, this);
+        this.prefix = CellKeys.inbox(context.cell);
+        this.watcher =
+                new PrefixWatcher(
+                        prefix, GROUPING_MILLIS, context.store, context.runtime, context.log, this);
     }
 
     /** Starts to read the keys. */
     void start() {
-        watch.start();
+        watcher.start();
     }
 
     /** Stops watching; the listener is not called for later changes. */
     void close() {
-        watch.close();
+        watcher.close();
     }
 
     @Override
@@ -74,7 +75,7 @@
             present.add(idOf(item.key()));
             admit(item);
         }
-        for (Job job : new ArrayList<>(core.jobs.values())) {
+        for (Job job : new ArrayList<>(context.jobs.values())) {
             boolean older = job.createdRevision <= highestRevision;
             if (older && !present.contains(job.id()) && !job.state.isFinal()) {
                 verify(prefix + job.id());
@@ -87,7 +88,7 @@
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
         String id = idOf(event.key());
-        Job job = core.jobs.get(id);
+        Job job = context.jobs.get(id);
         if (item == null) {
             if (job != null && !job.state.isFinal() && event.revision() > job.createdRevision) {
                 listener.onRemoved(job);
@@ -106,7 +107,7 @@
      * @param key the key
      */
     private void verify(String key) {
-        core.store.read(key, result -> onVerified(key, result));
+        context.store.read(key, result -> onVerified(key, result));
     }
 
     /**
@@ -116,15 +117,15 @@
      * @param result the reading
      */
     private void onVerified(String key, StoreResult<StoreReading> result) {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            core.schedule(RETRY_MILLIS, () -> verify(key));
+            context.schedule(RETRY_MILLIS, () -> verify(key));
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
-        Job job = core.jobs.get(idOf(key));
+        Job job = context.jobs.get(idOf(key));
         if (item != null) {
             admit(item);
         } else if (job != null && !job.state.isFinal()) {
@@ -140,15 +141,15 @@
      */
     private void admit(StoreItem item) {
         String id = idOf(item.key());
-        if (core.known(id)) {
+        if (context.known(id)) {
             return;
         }
-        AcceptedSubmission accepted = StoredValues.read(item.value(), AcceptedSubmission.class);
+        AcceptedSubmission accepted = StoredValueCodec.read(item.value(), AcceptedSubmission.class);
         if (accepted == null) {
-            core.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
+            context.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
             return;
         }
-        listener.onSubmission(new Job(accepted, item.revision(), core.now()));
+        listener.onSubmission(new Job(accepted, item.revision(), context.now()));
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerEntryWatcher.java
@@ -16,7 +16,7 @@
  * whose entry is missing is marked as unlisted, but its runs are kept, since they may still be
  * active.
  */
-final class WorkerList implements PrefixWatch.Listener {
+final class WorkerEntryWatcher implements PrefixWatcher.Listener {
 
     /**
      * The delay between a change and the next watch call, in milliseconds, which groups changes.
@@ -24,7 +24,7 @@
     private static final long GROUPING_MILLIS = 60;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Decodes the platform's worker entries. */
     private final PlatformFormats formats;
@@ -36,43 +36,43 @@
     private final Listener listener;
 
     /** Reads the entries and waits for changes. */
-    private final PrefixWatch watch;
+    private final PrefixWatcher watcher;
 
     /**
      * Creates a watcher that has not started.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param formats decodes the platform's worker entries
      * @param member decides which workers belong to the cell
      * @param listener called for new and changed workers
      */
-    WorkerList(
-            CellCore core,
+    WorkerEntryWatcher(
+            CellContext context,
             PlatformFormats formats,
             Predicate<WorkerEntry> member,
             Listener listener) {
-        this.core = core;
+        this.context = context;
         this.formats = formats;
         this.member = member;
         this.listener = listener;
-        this.watch =
-                new PrefixWatch(
+        this.watcher =
+                new PrefixWatcher(
                         formats.workersPrefix(),
                         GROUPING_MILLIS,
-                        core.store,
-                        core.runtime,
-                        core.log,
+                        context.store,
+                        context.runtime,
+                        context.log,
                         this);
     }
 
     /** Starts to read the entries. */
     void start() {
-        watch.start();
+        watcher.start();
     }
 
     /** Stops watching; later changes are ignored. */
     void close() {
-        watch.close();
+        watcher.close();
     }
 
     @Override
@@ -85,7 +85,7 @@
                 update(entry);
             }
         }
-        for (WorkerRecord worker : new ArrayList<>(core.allWorkers())) {
+        for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
             if (!present.contains(worker.id)) {
                 remove(worker);
             }
@@ -96,7 +96,7 @@
     @Override
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
-        WorkerRecord worker = core.workers.get(idOf(event.key()));
+        WorkerRecord worker = context.workers.get(idOf(event.key()));
         WorkerEntry entry = item == null ? null : decode(item);
         if (entry != null) {
             update(entry);
@@ -114,7 +114,7 @@
     private @Nullable WorkerEntry decode(StoreItem item) {
         WorkerEntry entry = formats.decodeWorker(idOf(item.key()), item.value());
         if (entry == null) {
-            core.log.log("worker.unreadable", "key", item.key(), "revision", item.revision());
+            context.log.log("worker.unreadable", "key", item.key(), "revision", item.revision());
             return null;
         }
         return member.test(entry) ? entry : null;
@@ -126,11 +126,13 @@
      * @param entry the entry of the worker
      */
     private void update(WorkerEntry entry) {
-        WorkerRecord worker = core.workers.get(entry.id());
+        WorkerRecord worker = context.workers.get(entry.id());
         if (worker == null) {
-            worker = new WorkerRecord(entry, core.leases.formerLeasesOver(core.term.beganMillis()));
-            core.workers.put(entry.id(), worker);
-            core.log.log(
+            worker =
+                    new WorkerRecord(
+                            entry, context.leases.formerLeasesOver(context.term.beganMillis()));
+            context.workers.put(entry.id(), worker);
+            context.log.log(
                     "worker.listed",
                     "worker",
                     entry.id(),
@@ -147,7 +149,7 @@
         worker.entry = entry;
         worker.listed = true;
         if (!before.draining() && entry.draining()) {
-            core.log.log(
+            context.log.log(
                     "worker.draining", "worker", entry.id(), "remaining", entry.remainingMillis());
         }
         listener.onUpdate(worker, before);
@@ -161,15 +163,15 @@
     private void remove(WorkerRecord worker) {
         if (worker.listed) {
             worker.listed = false;
-            worker.unlistedSinceMillis = core.now();
-            core.log.log(
+            worker.unlistedSinceMillis = context.now();
+            context.log.log(
                     "worker.unlisted",
                     "worker",
                     worker.id,
                     "runs",
                     worker.runs.size(),
                     "answeredAgo",
-                    core.now() - worker.answeredAtMillis);
+                    context.now() - worker.answeredAtMillis);
         }
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -17,7 +17,7 @@
  * inventory of active and ended runs, from which the poller updates the run records and determines
  * which runs are certainly over.
  */
-final class WorkerLooks {
+final class WorkerPoller {
 
     /**
      * Acknowledges no run end. A worker that did not answer may have restarted and numbered its run
@@ -36,7 +36,7 @@
     private static final long COMMIT_WAIT_MILLIS = 300;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Applies run ends to jobs. */
     private final JobBook book;
@@ -50,13 +50,13 @@
     /**
      * Creates a poller that polls no worker yet.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param book applies run ends to jobs
      * @param orders sends stop orders
      * @param listener called after each poll
      */
-    WorkerLooks(CellCore core, JobBook book, RunOrders orders, Listener listener) {
-        this.core = core;
+    WorkerPoller(CellContext context, JobBook book, RunOrders orders, Listener listener) {
+        this.context = context;
         this.book = book;
         this.orders = orders;
         this.listener = listener;
@@ -70,27 +70,27 @@
      * @param worker the worker
      */
     void look(WorkerRecord worker) {
-        if (core.over || worker.looking || core.workers.get(worker.id) != worker) {
+        if (context.over || worker.looking || context.workers.get(worker.id) != worker) {
             return;
         }
         worker.looking = true;
         worker.lookNumber++;
         long number = worker.lookNumber;
-        long now = core.now();
+        long now = context.now();
         boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerCalls.NO_LEASE;
         if (!first && worker.missedLooks == 0) {
-            leaseEnd = core.leases.leaseEnd(worker, now);
-            core.leases.noteGrant(worker, leaseEnd, now);
+            leaseEnd = context.leases.leaseEnd(worker, now);
+            context.leases.noteGrant(worker, leaseEnd, now);
         }
         boolean sameLife = worker.missedLooks == 0;
         HoldOrder order =
                 new HoldOrder(
                         leaseEnd,
-                        core.term.generation(),
+                        context.term.generation(),
                         sameLife ? worker.acknowledgedSequence : NOTHING_ACKNOWLEDGED,
-                        sameLife && worker.fenced ? core.settings.lookWaitMillis() : 0);
-        core.calls.hold(worker.address(), order, reply -> onReply(worker, number, reply));
+                        sameLife && worker.fenced ? context.settings.lookWaitMillis() : 0);
+        context.calls.hold(worker.address(), order, reply -> onReply(worker, number, reply));
     }
 
     /**
@@ -102,21 +102,21 @@
      */
     private void onReply(WorkerRecord worker, long number, WorkerReply reply) {
         worker.looking = false;
-        if (core.over || core.workers.get(worker.id) != worker) {
+        if (context.over || context.workers.get(worker.id) != worker) {
             return;
         }
         Inventory inventory = reply.inventory();
         if (reply.status() != WorkerStatus.OK || inventory == null) {
             worker.missedLooks++;
             listener.onMissedLook(worker, reply);
-            core.schedule(core.settings.lookRetryMillis(), () -> look(worker));
+            context.schedule(context.settings.lookRetryMillis(), () -> look(worker));
             return;
         }
         if (reply.bornUnixMillis() < worker.bornUnixMillis) {
             look(worker);
             return;
         }
-        long now = core.now();
+        long now = context.now();
         if (worker.bornUnixMillis != 0 && reply.bornUnixMillis() > worker.bornUnixMillis) {
             restarted(worker, reply.bornUnixMillis());
         }
@@ -132,7 +132,7 @@
         if (worker.pendingEnds.isEmpty()) {
             look(worker);
         } else {
-            core.schedule(COMMIT_WAIT_MILLIS, () -> look(worker));
+            context.schedule(COMMIT_WAIT_MILLIS, () -> look(worker));
         }
     }
 
@@ -144,7 +144,7 @@
      * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
     void restarted(WorkerRecord worker, long bornUnixMillis) {
-        core.log.log(
+        context.log.log(
                 "worker.restarted",
                 "worker",
                 worker.id,
@@ -188,7 +188,7 @@
                 worker.pendingEnds.add(book.apply(worker, end));
             }
         }
-        worker.advanceAcknowledgement(core.settled, core.term.runBase());
+        worker.advanceAcknowledgement(context.settled, context.term.runBase());
         Set<RunKey> seen = new HashSet<>();
         for (RunView view : inventory.running()) {
             seen.add(new RunKey(view.task(), view.run()));
@@ -244,14 +244,14 @@
                         wanted ? task : null,
                         reserved,
                         RunPhase.RUNNING,
-                        core.now());
+                        context.now());
         record.percent = RunRecord.UNKNOWN;
         record.slowed = true;
         worker.add(record);
         if (task != null) {
             task.lastRun = Math.max(task.lastRun, view.run());
         }
-        core.log.log(
+        context.log.log(
                 "run.adopted",
                 "task",
                 view.task(),
@@ -309,13 +309,14 @@
      * @param worker the worker
      */
     void expire(WorkerRecord worker) {
-        if (core.now() < worker.leaseOverAtMillis) {
+        if (context.now() < worker.leaseOverAtMillis) {
             return;
         }
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
-            if (!mayArrive || core.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
+            if (!mayArrive
+                    || context.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
                 book.lost(record, "the lease of the worker expired");
             }
         }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
@@ -3,7 +3,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.WorkerEntry;
@@ -28,7 +28,7 @@
 
     @Override
     public @Nullable WorkerEntry decodeWorker(String id, byte[] value) {
-        Entry entry = StoredValues.read(value, Entry.class);
+        Entry entry = StoredValueCodec.read(value, Entry.class);
         return entry == null
                 ? null
                 : new WorkerEntry(
@@ -66,7 +66,7 @@
             boolean draining,
             Resources capacity,
             long born) {
-        return StoredValues.write(
+        return StoredValueCodec.write(
                 new Entry(id, service, address.getPort(), draining, capacity, born));
     }
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
@@ -16,7 +16,7 @@
 import org.damasktiller.scheduler.cell.CellTerm;
 import org.damasktiller.scheduler.cell.HeadRecord;
 import org.damasktiller.scheduler.cell.OwnerRecord;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.model.AcceptedSubmission;
 import org.damasktiller.scheduler.model.EndKind;
 import org.damasktiller.scheduler.model.IngressLimits;
@@ -166,8 +166,8 @@
         store.commit(
                 new Commit()
                         .expect(CellKeys.submission(id), StoreItem.ABSENT)
-                        .put(CellKeys.submission(id), StoredValues.write(record))
-                        .put(CellKeys.inbox(CELL) + id, StoredValues.write(accepted)));
+                        .put(CellKeys.submission(id), StoredValueCodec.write(record))
+                        .put(CellKeys.inbox(CELL) + id, StoredValueCodec.write(accepted)));
     }
 
     /**
@@ -181,7 +181,7 @@
                         CELL, "route", SubmissionState.CANCELLED, runtime.unixMillis());
         store.commit(
                 new Commit()
-                        .put(CellKeys.submission(id), StoredValues.write(record))
+                        .put(CellKeys.submission(id), StoredValueCodec.write(record))
                         .remove(CellKeys.inbox(CELL) + id));
     }
 
@@ -194,7 +194,7 @@
     @Nullable SubmissionState state(String id) {
         byte[] value = store.value(CellKeys.submission(id));
         SubmissionRecord record =
-                value == null ? null : StoredValues.read(value, SubmissionRecord.class);
+                value == null ? null : StoredValueCodec.read(value, SubmissionRecord.class);
         return record == null ? null : record.state();
     }
 
@@ -221,8 +221,8 @@
         long revision =
                 store.commit(
                                 new Commit()
-                                        .put(CellKeys.owner(CELL), StoredValues.write(record))
-                                        .put(CellKeys.head(CELL), StoredValues.write(head)))
+                                        .put(CellKeys.owner(CELL), StoredValueCodec.write(record))
+                                        .put(CellKeys.head(CELL), StoredValueCodec.write(head)))
                         .require()
                         .revision();
         FreezableRuntime clock = new FreezableRuntime(runtime);
