--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -0,0 +1,172 @@
+package org.damasktiller.scheduler.cell;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import org.damasktiller.scheduler.model.Manifest;
+import org.damasktiller.scheduler.port.DecisionLog;
+import org.damasktiller.scheduler.port.MetadataStore;
+import org.damasktiller.scheduler.port.ProcessRuntime;
+import org.damasktiller.scheduler.port.WorkerClient;
+
+/**
+ * Holds the state that the components of a cell's owner share: the open jobs, the workers, the
+ * term, and the ports to the store, the workers and the clock.
+ */
+final class CellContext {
+
+    /** The name of the cell. */
+    final String cell;
+
+    /** The term for which this node owns the cell. */
+    final CellTerm term;
+
+    /** The intervals and limits. */
+    final CellSettings settings;
+
+    /** The metadata store. */
+    final MetadataStore store;
+
+    /** Sends calls to workers. */
+    final WorkerClient calls;
+
+    /** The clock and the timers. */
+    final ProcessRuntime runtime;
+
+    /** The log of scheduling decisions. */
+    final DecisionLog log;
+
+    /** Computes when the leases of workers expire. */
+    final LeaseCalculator leases;
+
+    /** The open submissions, by submission identifier. */
+    final Map<String, Job> jobs = new LinkedHashMap<>();
+
+    /**
+     * The workers of the cell, by worker identifier; unlisted ones stay until nothing runs there.
+     */
+    final Map<String, WorkerRecord> workers = new LinkedHashMap<>();
+
+    /** The manifest in effect. */
+    Manifest manifest;
+
+    /**
+     * Whether the term has ended; from then on no component sends, stores or schedules anything.
+     */
+    boolean over;
+
+    /**
+     * The workers that may still run tasks for previous owners: those of the stored roster that
+     * have neither answered a poll with this owner's fencing token nor been removed.
+     */
+    final Set<String> unsettled = new TreeSet<>();
+
+    /**
+     * Whether previous owners can no longer start anything, because each of their workers has seen
+     * this owner's fencing token or because all their leases have expired.
+     */
+    boolean settled;
+
+    /**
+     * The submissions that this owner has closed, by identifier. A listing that the store had
+     * already begun to return may still contain them, and they must not be admitted again.
+     */
+    private final Set<String> closed = new HashSet<>();
+
+    /** Called once with the reason when the term ends. */
+    private final Consumer<String> ended;
+
+    /**
+     * Creates the shared state of an owner that has not started.
+     *
+     * @param environment the ports, the settings and the current manifest
+     * @param cell the name of the cell
+     * @param term the term for which this node owns the cell
+     * @param ended called once with the reason when the term ends
+     */
+    CellContext(CellEnvironment environment, String cell, CellTerm term, Consumer<String> ended) {
+        this.cell = cell;
+        this.term = term;
+        this.settings = environment.settings();
+        this.store = environment.store();
+        this.calls = environment.calls();
+        this.runtime = environment.runtime();
+        this.log = environment.log();
+        this.manifest = environment.manifest();
+        this.leases = new LeaseCalculator(settings);
+        this.ended = ended;
+    }
+
+    /**
+     * Ends the term. From then on the owner sends no orders to workers and stores nothing. Later
+     * calls have no effect.
+     *
+     * @param reason why the term ends, for the log
+     */
+    void end(String reason) {
+        if (!over) {
+            over = true;
+            log.log("owner.ended", "cell", cell, "generation", term.generation(), "reason", reason);
+            ended.accept(reason);
+        }
+    }
+
+    /**
+     * Returns the current time of the monotonic clock.
+     *
+     * @return the time since an arbitrary moment, in milliseconds
+     */
+    long now() {
+        return runtime.nowMillis();
+    }
+
+    /**
+     * Schedules an action, which is skipped if the term has ended when it is due.
+     *
+     * @param delayMillis the delay, in milliseconds
+     * @param action the action, run on the thread of the event loop
+     */
+    void schedule(long delayMillis, Runnable action) {
+        runtime.schedule(
+                delayMillis,
+                () -> {
+                    if (!over) {
+                        action.run();
+                    }
+                });
+    }
+
+    /**
+     * Removes a closed job and remembers its identifier, so that the submission is not admitted
+     * again.
+     *
+     * @param job the job
+     */
+    void remove(Job job) {
+        jobs.remove(job.id());
+        closed.add(job.id());
+    }
+
+    /**
+     * Returns whether a submission is open or was closed in this term.
+     *
+     * @param id the identifier of the submission
+     * @return true if this owner has already seen the submission
+     */
+    boolean known(String id) {
+        return jobs.containsKey(id) || closed.contains(id);
+    }
+
+    /**
+     * Returns the workers of the cell.
+     *
+     * @return a live view of the workers; callers that remove workers must copy it first
+     */
+    Collection<WorkerRecord> allWorkers() {
+        return workers.values();
+    }
+}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -19,70 +19,71 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Owns a cell for one term: reads its submissions, progress and workers, fences the workers, and
- * runs the cell until the term ends. All calls come on one thread.
+ * Runs a cell for one term: loads its submissions, progress and workers from the store, fences the
+ * workers with the generation of the term, and schedules the tasks of the cell until the term ends.
+ * All methods must be called on the thread of the event loop.
  */
 public final class CellOwner {
 
-    /** The pause before a read that failed is tried again, in milliseconds. */
+    /** The delay before a failed read is tried again, in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The pause between two publications of the counts, in milliseconds. */
+    /** The time between two publications of the pending counts, in milliseconds. */
     private static final long PUBLISH_MILLIS = 500;
 
-    /** For how long a missed look makes a worker one to avoid, in milliseconds. */
+    /** How long a worker gets no new tasks after a failed poll, in milliseconds. */
     private static final long MISSED_LOOK_MILLIS = 400;
 
-    /** The shared part. */
-    private final CellCore core;
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
 
-    /** Proves the ownership. */
-    private final OwnershipProof proof;
+    /** Verifies that this process still owns the cell. */
+    private final OwnershipVerifier ownership;
 
-    /** Stores changes. */
-    private final CommitLoop commits;
+    /** Commits changes of jobs and of the roster. */
+    private final CommitQueue commits;
 
-    /** Applies ends. */
+    /** Applies run ends to jobs. */
     private final JobBook book;
 
-    /** Looks at workers. */
-    private final WorkerLooks looks;
+    /** Polls the workers. */
+    private final WorkerPoller poller;
 
-    /** Paces fillers. */
+    /** Throttles fillers. */
     private final FillerControl fillers;
 
-    /** Moves runs that get on too slowly. */
+    /** Moves runs that progress too slowly. */
     private final StragglerControl stragglers;
 
-    /** Moves work off workers that leave. */
-    private final DrainControl drains;
+    /** Moves work off draining workers. */
+    private final DrainController drainController;
 
-    /** Starts what waits. */
+    /** Starts waiting tasks. */
     private final StartPass pass;
 
-    /** Follows submissions. */
-    private final Inbox inbox;
+    /** Watches the open submissions. */
+    private final SubmissionWatcher submissionWatcher;
 
-    /** Follows workers. */
-    private final WorkerList workerList;
+    /** Watches the worker entries. */
+    private final WorkerEntryWatcher workerWatcher;
 
-    /** Whether the submissions and the progress have been read. */
+    /** Whether the submissions, the progress and the roster have been read. */
     private boolean loaded;
 
-    /** Whether a pass is planned. */
+    /** Whether a pass over the waiting tasks is scheduled. */
     private boolean passPlanned;
 
-    /** The counts published last. */
+    /** The pending counts published last; a value that matches no counts after a failure. */
     private Map<String, Integer> published = Map.of();
 
     /**
-     * Creates an owner that has not begun.
+     * Creates an owner that has not started.
      *
-     * @param environment the ports and settings
+     * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
-     * @param term the term
-     * @param member tells which workers belong to the cell
-     * @param ended told why the term ended
+     * @param term the term for which this process owns the cell
+     * @param member decides which workers belong to the cell
+     * @param ended called once with the reason when the term ends
      */
     public CellOwner(
             CellEnvironment environment,
@@ -90,151 +91,159 @@
             CellTerm term,
             Predicate<WorkerEntry> member,
             Consumer<String> ended) {
-        core = new CellCore(environment, cell, term, reason -> ended(reason, ended));
+        context = new CellContext(environment, cell, term, reason -> ended(reason, ended));
         RunTimes runTimes = new RunTimes();
-        proof = new OwnershipProof(core, this::planPass);
-        RunOrders orders = new RunOrders(core, this::planPass, this::fenced);
-        commits = new CommitLoop(core, new Commits());
-        book = new JobBook(core, commits, orders, runTimes);
-        looks = new WorkerLooks(core, book, orders, new Looks());
-        fillers = new FillerControl(core, orders, new PairEffects());
-        AdviceDesk advice = new AdviceDesk(core, environment.advice(), this::planPass);
-        Placement placement = new Placement(core, fillers, advice);
-        stragglers = new StragglerControl(core, placement, orders, runTimes);
-        drains = new DrainControl(core, orders, runTimes);
-        pass = new StartPass(core, placement, orders, runTimes, advice, proof);
-        inbox = new Inbox(core, new Submissions());
-        workerList = new WorkerList(core, environment.formats(), member, new Workers());
+        ownership = new OwnershipVerifier(context, this::planPass);
+        RunOrders orders = new RunOrders(context, this::planPass, this::fenced);
+        commits = new CommitQueue(context, new Commits());
+        book = new JobBook(context, commits, orders, runTimes);
+        poller = new WorkerPoller(context, book, orders, new Looks());
+        fillers = new FillerControl(context, orders, new PairEffects());
+        AdviceTicketProvider advice =
+                new AdviceTicketProvider(context, environment.advice(), this::planPass);
+        Placement placement = new Placement(context, fillers, advice);
+        stragglers = new StragglerControl(context, placement, orders, runTimes);
+        drainController = new DrainController(context, orders, runTimes);
+        pass = new StartPass(context, placement, orders, runTimes, advice, ownership);
+        submissionWatcher = new SubmissionWatcher(context, new Submissions());
+        workerWatcher =
+                new WorkerEntryWatcher(context, environment.formats(), member, new Workers());
     }
 
-    /** Begins the term's work. */
+    /** Starts to load the cell; tasks are scheduled once all records have been read. */
     public void start() {
-        core.log.log(
+        context.log.log(
                 "owner.began",
                 "cell",
-                core.cell,
+                context.cell,
                 "generation",
-                core.term.generation(),
+                context.term.generation(),
                 "headRevision",
-                core.term.headRevision());
-        inbox.start();
+                context.term.headRevision());
+        submissionWatcher.start();
     }
 
     /**
-     * Puts a manifest in force.
+     * Replaces the manifest in effect.
      *
-     * @param manifest the manifest
+     * @param manifest the new manifest
      */
     public void manifest(Manifest manifest) {
-        core.manifest = manifest;
+        context.manifest = manifest;
     }
 
     /**
-     * Ends the term.
+     * Ends the term; has no effect if it has already ended.
      *
-     * @param reason why
+     * @param reason why the term ends, for the log
      */
     public void stop(String reason) {
-        core.end(reason);
+        context.end(reason);
     }
 
     /**
-     * Finds the state of an open submission.
+     * Returns the state of an open submission.
      *
-     * @param id its identifier
-     * @return its state, or null if the owner does not know it
+     * @param id the identifier of the submission
+     * @return the state, or null if the submission is not open in this cell or the term has ended
      */
     public @Nullable SubmissionState state(String id) {
-        Job job = core.jobs.get(id);
-        return job == null || core.over ? null : job.state;
+        Job job = context.jobs.get(id);
+        return job == null || context.over ? null : job.state;
     }
 
     /**
-     * Ends what follows the store.
+     * Stops the watches when the term has ended.
      *
      * @param reason why the term ended
-     * @param listener told of the reason
+     * @param listener called with the reason
      */
     private void ended(String reason, Consumer<String> listener) {
-        inbox.close();
-        workerList.close();
+        submissionWatcher.close();
+        workerWatcher.close();
         listener.accept(reason);
     }
 
-    /** Ends the term: only a successor's fencing token can be higher than this owner's. */
+    /**
+     * Ends the term after a worker has seen a higher fencing token, which only a successor can
+     * have.
+     */
     private void fenced() {
-        core.end("a worker has seen a newer generation");
+        context.end("a worker has seen a higher fencing token");
     }
 
-    /** Reads the stored progress, then the roster, then the workers. */
+    /** Reads the stored progress, then the roster, then the worker entries. */
     private void loadProgress() {
         ProgressReader reader = new ProgressReader();
-        reader.watch =
-                new PrefixWatch(
-                        CellKeys.progress(core.cell),
+        reader.watcher =
+                new PrefixWatcher(
+                        CellKeys.progress(context.cell),
                         0,
-                        core.store,
-                        core.runtime,
-                        core.log,
+                        context.store,
+                        context.runtime,
+                        context.log,
                         reader);
-        reader.watch.start();
+        reader.watcher.start();
     }
 
-    /** Reads the workers that former owners used. */
+    /** Reads the roster, which lists the workers that previous owners used. */
     private void loadRoster() {
-        core.store.read(CellKeys.roster(core.cell), this::onRoster);
+        context.store.read(CellKeys.roster(context.cell), this::onRoster);
     }
 
     /**
-     * Takes the roster.
+     * Completes the loading with the roster, and starts the regular work of the owner.
      *
-     * @param result the reading
+     * @param result the reading of the roster
      */
     private void onRoster(StoreResult<StoreReading> result) {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            core.schedule(RETRY_MILLIS, this::loadRoster);
+            context.schedule(RETRY_MILLIS, this::loadRoster);
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         RosterRecord roster =
-                item == null ? null : StoredValues.read(item.value(), RosterRecord.class);
+                item == null ? null : StoredValueCodec.read(item.value(), RosterRecord.class);
         if (roster != null) {
-            core.unsettled.addAll(roster.workers());
+            context.unsettled.addAll(roster.workers());
         }
         loaded = true;
-        core.log.log(
+        context.log.log(
                 "owner.loaded",
                 "cell",
-                core.cell,
+                context.cell,
                 "jobs",
-                core.jobs.size(),
+                context.jobs.size(),
                 "roster",
-                core.unsettled.size(),
+                context.unsettled.size(),
                 "millis",
-                core.now() - core.term.beganMillis());
+                context.now() - context.term.beganMillis());
         settle();
-        workerList.start();
-        proof.start();
+        workerWatcher.start();
+        ownership.start();
         tick();
         publish();
     }
 
-    /** Does what is due at regular times. */
+    /**
+     * Does the periodic work: ends expired runs, handles draining workers, removes workers that are
+     * gone, and schedules a pass.
+     */
     private void tick() {
-        long now = core.now();
+        long now = context.now();
         boolean changed = false;
-        for (WorkerRecord worker : new ArrayList<>(core.allWorkers())) {
-            looks.expire(worker);
-            drains.judge(worker);
+        for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
+            poller.expire(worker);
+            drainController.judge(worker);
             boolean gone =
                     !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
             if (gone) {
-                core.workers.remove(worker.id);
-                core.unsettled.remove(worker.id);
-                core.log.log("worker.gone", "worker", worker.id);
+                context.workers.remove(worker.id);
+                context.unsettled.remove(worker.id);
+                context.log.log("worker.gone", "worker", worker.id);
                 changed = true;
             }
         }
@@ -243,36 +252,42 @@
         }
         settle();
         planPass();
-        core.schedule(core.settings.passIntervalMillis() * 2, this::tick);
+        context.schedule(context.settings.passIntervalMillis() * 2, this::tick);
     }
 
-    /** Finds out whether every worker of former owners is settled. */
+    /**
+     * Checks whether previous owners can no longer start anything. Once that is so, submissions
+     * from before this term may be scheduled and the run ends of previous owners acknowledged.
+     */
     private void settle() {
-        if (core.settled || !loaded) {
+        if (context.settled || !loaded) {
             return;
         }
-        boolean over = core.now() >= core.leases.formerLeasesOver(core.term.beganMillis());
-        if (over || core.unsettled.isEmpty()) {
-            core.settled = true;
-            core.log.log(
+        boolean over = context.now() >= context.leases.formerLeasesOver(context.term.beganMillis());
+        if (over || context.unsettled.isEmpty()) {
+            context.settled = true;
+            context.log.log(
                     "owner.settled",
                     "cell",
-                    core.cell,
+                    context.cell,
                     "byTime",
-                    !core.unsettled.isEmpty(),
+                    !context.unsettled.isEmpty(),
                     "millis",
-                    core.now() - core.term.beganMillis());
-            core.unsettled.clear();
+                    context.now() - context.term.beganMillis());
+            context.unsettled.clear();
             commits.acknowledge();
             planPass();
         }
     }
 
-    /** Plans a pass over what waits. */
+    /**
+     * Schedules a pass over the waiting tasks unless one is scheduled or the cell is not loaded
+     * yet.
+     */
     private void planPass() {
-        if (!passPlanned && loaded && !core.over) {
+        if (!passPlanned && loaded && !context.over) {
             passPlanned = true;
-            core.schedule(
+            context.schedule(
                     1,
                     () -> {
                         passPlanned = false;
@@ -281,15 +296,19 @@
         }
     }
 
-    /** Publishes how many submissions wait, if that has changed. */
+    /**
+     * Publishes the pending counts of the cell if they have changed, and schedules the next check.
+     */
     private void publish() {
         Map<String, Integer> counts = book.pending();
         if (!counts.equals(published)) {
             published = counts;
             StoreTransaction commit = new StoreTransaction();
-            commit.expectRevision(CellKeys.owner(core.cell), core.term.headRevision());
-            commit.put(CellKeys.pending(core.cell), StoredValues.write(new PendingRecord(counts)));
-            core.store.commit(
+            commit.expectRevision(CellKeys.owner(context.cell), context.term.headRevision());
+            commit.put(
+                    CellKeys.pending(context.cell),
+                    StoredValueCodec.write(new PendingRecord(counts)));
+            context.store.commit(
                     commit,
                     result -> {
                         if (result.status() != StoreStatus.OK) {
@@ -297,11 +316,11 @@
                         }
                     });
         }
-        core.schedule(PUBLISH_MILLIS, this::publish);
+        context.schedule(PUBLISH_MILLIS, this::publish);
     }
 
-    /** Takes the effects of commits. */
-    private final class Commits implements CommitLoop.Listener {
+    /** Applies the effects of commits. */
+    private final class Commits implements CommitQueue.Listener {
 
         @Override
         public void onTaken(Job job) {
@@ -315,19 +334,19 @@
 
         @Override
         public void onAcknowledgeable(WorkerRecord worker) {
-            looks.look(worker);
+            poller.look(worker);
         }
     }
 
-    /** Takes the results of looks. */
-    private final class Looks implements WorkerLooks.Listener {
+    /** Applies the results of polls. */
+    private final class Looks implements WorkerPoller.Listener {
 
         @Override
         public void onLook(WorkerRecord worker, boolean first) {
             if (first) {
-                core.unsettled.remove(worker.id);
+                context.unsettled.remove(worker.id);
                 settle();
-                proof.renew();
+                ownership.renew();
             }
             fillers.judge(worker);
             stragglers.judge(worker);
@@ -340,12 +359,12 @@
                 fenced();
             }
             worker.avoidUntilMillis =
-                    Math.max(worker.avoidUntilMillis, core.now() + MISSED_LOOK_MILLIS);
+                    Math.max(worker.avoidUntilMillis, context.now() + MISSED_LOOK_MILLIS);
         }
     }
 
-    /** Takes changes of the inbox. */
-    private final class Submissions implements Inbox.Listener {
+    /** Applies new and cancelled submissions. */
+    private final class Submissions implements SubmissionWatcher.Listener {
 
         @Override
         public void onSnapshot() {
@@ -356,17 +375,17 @@
 
         @Override
         public void onSubmission(Job job) {
-            core.jobs.put(job.id(), job);
-            core.log.log(
+            context.jobs.put(job.id(), job);
+            context.log.log(
                     "job.taken",
                     "id",
                     job.id(),
                     "cell",
-                    core.cell,
+                    context.cell,
                     "revision",
                     job.createdRevision);
             if (loaded) {
-                proof.renew();
+                ownership.renew();
             }
         }
 
@@ -377,45 +396,47 @@
         }
     }
 
-    /** Takes changes of the workers. */
-    private final class Workers implements WorkerList.Listener {
+    /** Applies new and changed workers. */
+    private final class Workers implements WorkerEntryWatcher.Listener {
 
         @Override
         public void onSnapshot() {
-            core.log.log("workers.read", "cell", core.cell, "count", core.workers.size());
+            context.log.log("workers.read", "cell", context.cell, "count", context.workers.size());
         }
 
         @Override
         public void onNew(WorkerRecord worker) {
             commits.changeRoster();
-            looks.look(worker);
+            poller.look(worker);
         }
 
         @Override
         public void onUpdate(WorkerRecord worker, WorkerEntry before) {
             long born = worker.entry.bootUnixMillis();
             if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
-                looks.restarted(worker, born);
+                poller.restarted(worker, born);
             }
-            looks.look(worker);
+            poller.look(worker);
         }
     }
 
-    /** Reads the stored progress once. */
-    private final class ProgressReader implements PrefixWatch.Listener {
+    /** Restores the jobs from a single reading of the stored progress. */
+    private final class ProgressReader implements PrefixWatcher.Listener {
 
-        /** The watch, closed after the first reading. */
-        private @Nullable PrefixWatch watch;
+        /**
+         * Reads the progress records; closed after the first snapshot. Null only before it is set.
+         */
+        private @Nullable PrefixWatcher watcher;
 
         @Override
         public void onSnapshot(List<StoreItem> items, long highestRevision) {
-            if (watch != null) {
-                watch.close();
+            if (watcher != null) {
+                watcher.close();
             }
-            String prefix = CellKeys.progress(core.cell);
+            String prefix = CellKeys.progress(context.cell);
             for (StoreItem item : items) {
-                Job job = core.jobs.get(item.key().substring(prefix.length()));
-                ProgressRecord progress = StoredValues.read(item.value(), ProgressRecord.class);
+                Job job = context.jobs.get(item.key().substring(prefix.length()));
+                ProgressRecord progress = StoredValueCodec.read(item.value(), ProgressRecord.class);
                 if (job != null && progress != null) {
                     progress.restore(job);
                     job.progressStored = true;
@@ -426,7 +447,7 @@
 
         @Override
         public void onChange(StoreEvent event) {
-            core.log.log("progress.ignored", "key", event.key());
+            context.log.log("progress.ignored", "key", event.key());
         }
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Inbox.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/SubmissionWatcher.java
@@ -12,54 +12,59 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Follows the open submissions of the cell. A key that appears is a new submission; one that
- * disappears, though this owner has not closed it, was cancelled.
+ * Watches the keys of the cell's open submissions. A new key is a new submission. A key that is
+ * removed while the job is not finished means that the caller has cancelled the submission.
  */
-final class Inbox implements PrefixWatch.Listener {
+final class SubmissionWatcher implements PrefixWatcher.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /**
+     * The delay between a change and the next watch call, in milliseconds, which groups changes.
+     */
     private static final long GROUPING_MILLIS = 10;
 
-    /** The pause before a read that failed is tried again, in milliseconds. */
+    /** The delay before a failed read is tried again, in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The shared part. */
-    private final CellCore core;
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
 
-    /** Takes what has changed. */
+    /** Called for new and cancelled submissions. */
     private final Listener listener;
 
-    /** The prefix of the keys. */
+    /** The prefix of the keys; the submission identifier follows it. */
     private final String prefix;
 
-    /** The watch. */
-    private final PrefixWatch watch;
+    /** Reads the keys and waits for changes. */
+    private final PrefixWatcher watcher;
 
-    /** Up to which revision a change may be reported that a page has shown already. */
+    /**
+     * The highest revision of the last snapshot; changes up to it may be older than the snapshot.
+     */
     private long snapshotRevision;
 
     /**
-     * Creates an inbox that is not read yet.
+     * Creates a watcher that has not started.
      *
-     * @param core the shared part
-     * @param listener takes what has changed
+     * @param context the shared state of the cell's owner
+     * @param listener called for new and cancelled submissions
      */
-    Inbox(CellCore core, Listener listener) {
-        this.core = core;
+    SubmissionWatcher(CellContext context, Listener listener) {
+        this.context = context;
         this.listener = listener;
-        this.prefix = CellKeys.inbox(core.cell);
-        this.watch =
-                new PrefixWatch(prefix, GROUPING_MILLIS, core.store, core.runtime, core.log, this);
+        this.prefix = CellKeys.inbox(context.cell);
+        this.watcher =
+                new PrefixWatcher(
+                        prefix, GROUPING_MILLIS, context.store, context.runtime, context.log, this);
     }
 
-    /** Begins to read. */
+    /** Starts to read the keys. */
     void start() {
-        watch.start();
+        watcher.start();
     }
 
-    /** Ends the watch. */
+    /** Stops watching; the listener is not called for later changes. */
     void close() {
-        watch.close();
+        watcher.close();
     }
 
     @Override
@@ -70,7 +75,7 @@
             present.add(idOf(item.key()));
             admit(item);
         }
-        for (Job job : new ArrayList<>(core.jobs.values())) {
+        for (Job job : new ArrayList<>(context.jobs.values())) {
             boolean older = job.createdRevision <= highestRevision;
             if (older && !present.contains(job.id()) && !job.state.isFinal()) {
                 verify(prefix + job.id());
@@ -83,7 +88,7 @@
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
         String id = idOf(event.key());
-        Job job = core.jobs.get(id);
+        Job job = context.jobs.get(id);
         if (item == null) {
             if (job != null && !job.state.isFinal() && event.revision() > job.createdRevision) {
                 listener.onRemoved(job);
@@ -96,31 +101,31 @@
     }
 
     /**
-     * Reads a key again: one that a page lacks, or one of which a change is reported that may be
-     * older than the pages read.
+     * Reads a single key whose state is in doubt: a snapshot lacks the key of an open job, or the
+     * watch reports a change that may be older than the snapshot.
      *
      * @param key the key
      */
     private void verify(String key) {
-        core.store.read(key, result -> onVerified(key, result));
+        context.store.read(key, result -> onVerified(key, result));
     }
 
     /**
-     * Takes a key that was read again.
+     * Handles the reading of a key whose state was in doubt.
      *
      * @param key the key
      * @param result the reading
      */
     private void onVerified(String key, StoreResult<StoreReading> result) {
-        if (core.over) {
+        if (context.over) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            core.schedule(RETRY_MILLIS, () -> verify(key));
+            context.schedule(RETRY_MILLIS, () -> verify(key));
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
-        Job job = core.jobs.get(idOf(key));
+        Job job = context.jobs.get(idOf(key));
         if (item != null) {
             admit(item);
         } else if (job != null && !job.state.isFinal()) {
@@ -129,50 +134,51 @@
     }
 
     /**
-     * Takes in a submission unless it is known.
+     * Reports a submission unless it is already open or closed. A record that can't be decoded is
+     * logged and skipped.
      *
-     * @param item its stored record
+     * @param item the stored submission
      */
     private void admit(StoreItem item) {
         String id = idOf(item.key());
-        if (core.known(id)) {
+        if (context.known(id)) {
             return;
         }
-        AcceptedSubmission accepted = StoredValues.read(item.value(), AcceptedSubmission.class);
+        AcceptedSubmission accepted = StoredValueCodec.read(item.value(), AcceptedSubmission.class);
         if (accepted == null) {
-            core.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
+            context.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
             return;
         }
-        listener.onSubmission(new Job(accepted, item.revision(), core.now()));
+        listener.onSubmission(new Job(accepted, item.revision(), context.now()));
     }
 
     /**
-     * Returns the submission of a key.
+     * Extracts the submission identifier from a key.
      *
      * @param key the key
-     * @return the identifier
+     * @return the identifier of the submission
      */
     private String idOf(String key) {
         return key.substring(prefix.length());
     }
 
-    /** Takes what has changed in the inbox. */
+    /** Called for new and cancelled submissions. */
     interface Listener {
 
-        /** Tells that all keys have been read. */
+        /** Called after all keys have been read, on start and after changes were missed. */
         void onSnapshot();
 
         /**
-         * Takes a new submission.
+         * Called for each submission that is not yet open.
          *
-         * @param job the submission
+         * @param job a new job for the submission
          */
         void onSubmission(Job job);
 
         /**
-         * Tells that the caller has cancelled a submission.
+         * Called when the caller has cancelled a submission.
          *
-         * @param job the submission
+         * @param job the open job of the submission
          */
         void onRemoved(Job job);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerList.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerEntryWatcher.java
@@ -12,64 +12,67 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Follows the entries of the cell's workers. An entry that is gone ends the use of the worker, but
- * proves nothing about what it runs.
+ * Watches the registry entries of the cell's workers and keeps their records up to date. A worker
+ * whose entry is missing is marked as unlisted, but its runs are kept, since they may still be
+ * active.
  */
-final class WorkerList implements PrefixWatch.Listener {
+final class WorkerEntryWatcher implements PrefixWatcher.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /**
+     * The delay between a change and the next watch call, in milliseconds, which groups changes.
+     */
     private static final long GROUPING_MILLIS = 60;
 
-    /** The shared part. */
-    private final CellCore core;
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
 
-    /** The platform's records. */
+    /** Decodes the platform's worker entries. */
     private final PlatformRecordDecoder formats;
 
-    /** Tells which workers belong to the cell. */
+    /** Decides which workers belong to the cell. */
     private final Predicate<WorkerEntry> member;
 
-    /** Takes what has changed. */
+    /** Called for new and changed workers. */
     private final Listener listener;
 
-    /** The watch. */
-    private final PrefixWatch watch;
+    /** Reads the entries and waits for changes. */
+    private final PrefixWatcher watcher;
 
     /**
-     * Creates a list that is not read yet.
+     * Creates a watcher that has not started.
      *
-     * @param core the shared part
-     * @param formats the platform's records
-     * @param member tells which workers belong to the cell
-     * @param listener takes what has changed
+     * @param context the shared state of the cell's owner
+     * @param formats decodes the platform's worker entries
+     * @param member decides which workers belong to the cell
+     * @param listener called for new and changed workers
      */
-    WorkerList(
-            CellCore core,
+    WorkerEntryWatcher(
+            CellContext context,
             PlatformRecordDecoder formats,
             Predicate<WorkerEntry> member,
             Listener listener) {
-        this.core = core;
+        this.context = context;
         this.formats = formats;
         this.member = member;
         this.listener = listener;
-        this.watch =
-                new PrefixWatch(
+        this.watcher =
+                new PrefixWatcher(
                         formats.workerKeyPrefix(),
                         GROUPING_MILLIS,
-                        core.store,
-                        core.runtime,
-                        core.log,
+                        context.store,
+                        context.runtime,
+                        context.log,
                         this);
     }
 
-    /** Begins to read. */
+    /** Starts to read the entries. */
     void start() {
-        watch.start();
+        watcher.start();
     }
 
-    /** Ends the watch. */
+    /** Stops watching; later changes are ignored. */
     void close() {
-        watch.close();
+        watcher.close();
     }
 
     @Override
@@ -82,7 +85,7 @@
                 update(entry);
             }
         }
-        for (WorkerRecord worker : new ArrayList<>(core.allWorkers())) {
+        for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
             if (!present.contains(worker.id)) {
                 remove(worker);
             }
@@ -93,7 +96,7 @@
     @Override
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
-        WorkerRecord worker = core.workers.get(idOf(event.key()));
+        WorkerRecord worker = context.workers.get(idOf(event.key()));
         WorkerEntry entry = item == null ? null : decode(item);
         if (entry != null) {
             update(entry);
@@ -103,31 +106,33 @@
     }
 
     /**
-     * Reads an entry; one that can't be used is skipped with a line.
+     * Decodes an entry and logs one that is not usable.
      *
      * @param item the stored entry
-     * @return the entry, or null if it is no usable entry of a member
+     * @return the entry, or null if it is not usable or the worker belongs to another cell
      */
     private @Nullable WorkerEntry decode(StoreItem item) {
         WorkerEntry entry = formats.decodeWorker(idOf(item.key()), item.value());
         if (entry == null) {
-            core.log.log("worker.unreadable", "key", item.key(), "revision", item.revision());
+            context.log.log("worker.unreadable", "key", item.key(), "revision", item.revision());
             return null;
         }
         return member.test(entry) ? entry : null;
     }
 
     /**
-     * Takes an entry.
+     * Creates the record of a new worker, or updates that of a known one.
      *
-     * @param entry the entry
+     * @param entry the entry of the worker
      */
     private void update(WorkerEntry entry) {
-        WorkerRecord worker = core.workers.get(entry.id());
+        WorkerRecord worker = context.workers.get(entry.id());
         if (worker == null) {
-            worker = new WorkerRecord(entry, core.leases.formerLeasesOver(core.term.beganMillis()));
-            core.workers.put(entry.id(), worker);
-            core.log.log(
+            worker =
+                    new WorkerRecord(
+                            entry, context.leases.formerLeasesOver(context.term.beganMillis()));
+            context.workers.put(entry.id(), worker);
+            context.log.log(
                     "worker.listed",
                     "worker",
                     entry.id(),
@@ -144,60 +149,60 @@
         worker.entry = entry;
         worker.listed = true;
         if (!before.draining() && entry.draining()) {
-            core.log.log(
+            context.log.log(
                     "worker.draining", "worker", entry.id(), "remaining", entry.remainingMillis());
         }
         listener.onUpdate(worker, before);
     }
 
     /**
-     * Notes that a worker has no entry.
+     * Marks a worker as unlisted, since it has no entry in this cell any more.
      *
      * @param worker the worker
      */
     private void remove(WorkerRecord worker) {
         if (worker.listed) {
             worker.listed = false;
-            worker.unlistedSinceMillis = core.now();
-            core.log.log(
+            worker.unlistedSinceMillis = context.now();
+            context.log.log(
                     "worker.unlisted",
                     "worker",
                     worker.id,
                     "runs",
                     worker.runs.size(),
                     "answeredAgo",
-                    core.now() - worker.answeredAtMillis);
+                    context.now() - worker.answeredAtMillis);
         }
     }
 
     /**
-     * Returns the worker of a key.
+     * Extracts the worker identifier from a key.
      *
      * @param key the key
-     * @return the identifier
+     * @return the identifier of the worker
      */
     private String idOf(String key) {
         return key.substring(formats.workerKeyPrefix().length());
     }
 
-    /** Takes what has changed in the list. */
+    /** Called for new and changed workers. */
     interface Listener {
 
-        /** Tells that all entries have been read. */
+        /** Called after all entries have been read, on start and after changes were missed. */
         void onSnapshot();
 
         /**
-         * Takes a worker that was not known.
+         * Called after a record was created for a new worker.
          *
          * @param worker the worker
          */
         void onNew(WorkerRecord worker);
 
         /**
-         * Tells that an entry has changed.
+         * Called after the entry of a known worker was read again or changed.
          *
          * @param worker the worker, with the new entry
-         * @param before the entry before
+         * @param before the previous entry
          */
         void onUpdate(WorkerRecord worker, WorkerEntry before);
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -13,103 +13,110 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * Looks at the workers again and again: lengthens their leases, takes in what they run and what has
- * ended, and finds out which runs are certainly over.
+ * Polls the workers continuously. Each poll extends the lease of its worker and returns an
+ * inventory of active and ended runs, from which the poller updates the run records and determines
+ * which runs are certainly over.
  */
-final class WorkerLooks {
+final class WorkerPoller {
 
     /**
-     * Acknowledges no end. A worker that did not answer may have begun a new life, whose ends have
-     * numbers of their own: acknowledging those of the former life would make it forget new ones.
+     * Acknowledges no run end. A worker that did not answer may have restarted and numbered its run
+     * ends from 1 again. Acknowledging a number of the earlier boot would make it discard new run
+     * ends.
      */
     private static final long NOTHING_ACKNOWLEDGED = 0;
 
-    /** From how many listed ends on a list may be cut short, from the platform's pages. */
+    /**
+     * The number of run ends from which on an inventory may be truncated, given by the platform's
+     * documentation.
+     */
     private static final int LONGEST_END_LIST = 500;
 
-    /** The pause before a look while ends wait for their commit, in milliseconds. */
+    /** The delay before the next poll while run ends wait for their commit, in milliseconds. */
     private static final long COMMIT_WAIT_MILLIS = 300;
 
-    /** The shared part. */
-    private final CellCore core;
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
 
-    /** Applies ends. */
+    /** Applies run ends to jobs. */
     private final JobBook book;
 
-    /** Sends orders. */
+    /** Sends stop orders. */
     private final RunOrders orders;
 
-    /** Told after each look. */
+    /** Called after each poll. */
     private final Listener listener;
 
     /**
-     * Creates the looks.
+     * Creates a poller that polls no worker yet.
      *
-     * @param core the shared part
-     * @param book applies ends
-     * @param orders sends orders
-     * @param listener told after each look
+     * @param context the shared state of the cell's owner
+     * @param book applies run ends to jobs
+     * @param orders sends stop orders
+     * @param listener called after each poll
      */
-    WorkerLooks(CellCore core, JobBook book, RunOrders orders, Listener listener) {
-        this.core = core;
+    WorkerPoller(CellContext context, JobBook book, RunOrders orders, Listener listener) {
+        this.context = context;
         this.book = book;
         this.orders = orders;
         this.listener = listener;
     }
 
     /**
-     * Looks at a worker unless a look is on its way.
+     * Polls a worker unless a poll of it is in flight. Each outcome schedules the next poll. A poll
+     * extends the lease only if the previous poll was answered, the current boot has answered this
+     * owner, and an ownership check has succeeded after a reading of the worker's clock.
      *
      * @param worker the worker
      */
     void look(WorkerRecord worker) {
-        if (core.over || worker.looking || core.workers.get(worker.id) != worker) {
+        if (context.over || worker.looking || context.workers.get(worker.id) != worker) {
             return;
         }
         worker.looking = true;
         worker.lookNumber++;
         long number = worker.lookNumber;
-        long now = core.now();
+        long now = context.now();
         boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerClient.LEASE_UNCHANGED;
         if (!first && worker.missedLooks == 0) {
-            leaseEnd = core.leases.leaseEnd(worker, now);
-            core.leases.noteGrant(worker, leaseEnd, now);
+            leaseEnd = context.leases.leaseEnd(worker, now);
+            context.leases.noteGrant(worker, leaseEnd, now);
         }
         boolean sameLife = worker.missedLooks == 0;
         HeartbeatRequest order =
                 new HeartbeatRequest(
                         leaseEnd,
-                        core.term.generation(),
+                        context.term.generation(),
                         sameLife ? worker.acknowledgedSequence : NOTHING_ACKNOWLEDGED,
-                        sameLife && worker.fenced ? core.settings.lookWaitMillis() : 0);
-        core.calls.heartbeat(worker.address(), order, reply -> onReply(worker, number, reply));
+                        sameLife && worker.fenced ? context.settings.lookWaitMillis() : 0);
+        context.calls.heartbeat(worker.address(), order, reply -> onReply(worker, number, reply));
     }
 
     /**
-     * Takes the answer to a look.
+     * Handles the answer to a poll. An answer of a boot before the known one is ignored.
      *
      * @param worker the worker
-     * @param number the number of the look
+     * @param number the number of the poll
      * @param reply the answer
      */
     private void onReply(WorkerRecord worker, long number, WorkerReply reply) {
         worker.looking = false;
-        if (core.over || core.workers.get(worker.id) != worker) {
+        if (context.over || context.workers.get(worker.id) != worker) {
             return;
         }
         Inventory inventory = reply.inventory();
         if (reply.status() != WorkerStatus.OK || inventory == null) {
             worker.missedLooks++;
             listener.onMissedLook(worker, reply);
-            core.schedule(core.settings.lookRetryMillis(), () -> look(worker));
+            context.schedule(context.settings.lookRetryMillis(), () -> look(worker));
             return;
         }
         if (reply.bootUnixMillis() < worker.bornUnixMillis) {
             look(worker);
             return;
         }
-        long now = core.now();
+        long now = context.now();
         if (worker.bornUnixMillis != 0 && reply.bootUnixMillis() > worker.bornUnixMillis) {
             restarted(worker, reply.bootUnixMillis());
         }
@@ -125,19 +132,19 @@
         if (worker.pendingEnds.isEmpty()) {
             look(worker);
         } else {
-            core.schedule(COMMIT_WAIT_MILLIS, () -> look(worker));
+            context.schedule(COMMIT_WAIT_MILLIS, () -> look(worker));
         }
     }
 
     /**
-     * Takes note of a new boot of a worker: what ran before is over, but a start that got no answer
-     * may still arrive, and has to be stopped there too.
+     * Resets a worker's record after a restart. The runs of the earlier boot are over, but an
+     * unanswered start order may still reach the new boot and therefore has to be stopped there.
      *
      * @param worker the worker
-     * @param bornUnixMillis when the new boot began
+     * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
     void restarted(WorkerRecord worker, long bornUnixMillis) {
-        core.log.log(
+        context.log.log(
                 "worker.restarted",
                 "worker",
                 worker.id,
@@ -167,11 +174,12 @@
     }
 
     /**
-     * Merges an inventory.
+     * Updates the run records from an inventory.
      *
      * @param worker the worker
-     * @param number the number of the look
-     * @param inventory the inventory
+     * @param number the number of the poll; a run counts as missing only if the poll was sent after
+     *     the last order for the run was answered or failed
+     * @param inventory the active and ended runs of the worker
      */
     private void merge(WorkerRecord worker, long number, Inventory inventory) {
         for (EndedRun end : inventory.ended()) {
@@ -180,7 +188,7 @@
                 worker.pendingEnds.add(book.apply(worker, end));
             }
         }
-        worker.advanceAcknowledgement(core.settled, core.term.runBase());
+        worker.advanceAcknowledgement(context.settled, context.term.runBase());
         Set<RunKey> seen = new HashSet<>();
         for (ActiveRun view : inventory.running()) {
             seen.add(new RunKey(view.task(), view.run()));
@@ -195,10 +203,10 @@
     }
 
     /**
-     * Merges a run that the worker lists as active.
+     * Updates the record of a run that the worker lists as active, or creates one.
      *
      * @param worker the worker
-     * @param view the run
+     * @param view the run as the worker lists it
      */
     private void mergeRun(WorkerRecord worker, ActiveRun view) {
         RunRecord record = worker.runs.get(new RunKey(view.task(), view.run()));
@@ -217,10 +225,11 @@
     }
 
     /**
-     * Takes over a run that a former owner started, or stops one that must not be there.
+     * Creates a record for an active run that this owner does not know, usually one that a previous
+     * owner started. The run is stopped if its task is unknown, done or already running elsewhere.
      *
      * @param worker the worker
-     * @param view the run
+     * @param view the run as the worker lists it
      * @return the record of the run
      */
     private RunRecord adopt(WorkerRecord worker, ActiveRun view) {
@@ -235,14 +244,14 @@
                         wanted ? task : null,
                         reserved,
                         RunPhase.RUNNING,
-                        core.now());
+                        context.now());
         record.percent = RunRecord.UNKNOWN;
         record.slowed = true;
         worker.add(record);
         if (task != null) {
             task.lastRun = Math.max(task.lastRun, view.run());
         }
-        core.log.log(
+        context.log.log(
                 "run.adopted",
                 "task",
                 view.task(),
@@ -259,19 +268,20 @@
     }
 
     /**
-     * Tells whether an adopted run may go on: no other run of the task is active, and it has not
-     * been superseded.
+     * Returns whether an adopted run may continue.
      *
-     * @param task the task
-     * @param view the run
-     * @return whether it may
+     * @param task the task of the run
+     * @param view the run as the worker lists it
+     * @return true if no other run of the task is or may be active, and no run with this number or
+     *     a higher one has ended
      */
     private static boolean elsewhere(TaskRecord task, ActiveRun view) {
         return task.runs.isEmpty() && view.run() > task.endedRun;
     }
 
     /**
-     * Judges a run that a complete inventory does not have.
+     * Handles a run that is missing from a complete inventory. A run that may still start is
+     * stopped; any other run is over.
      *
      * @param record the run
      */
@@ -280,12 +290,12 @@
             case UNCERTAIN -> orders.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    book.lost(record, "stopped before it arrived");
+                    book.lost(record, "the run was stopped before its start order arrived");
                 } else {
                     orders.sendStop(record);
                 }
             }
-            case RUNNING -> book.lost(record, "the worker no longer lists it");
+            case RUNNING -> book.lost(record, "the worker no longer lists the run");
             default -> {
                 return;
             }
@@ -293,39 +303,41 @@
     }
 
     /**
-     * Ends the runs of a worker whose leases are certainly over.
+     * Marks the runs of a worker as lost if all of its leases have certainly expired. Runs whose
+     * start order may still arrive are kept.
      *
      * @param worker the worker
      */
     void expire(WorkerRecord worker) {
-        if (core.now() < worker.leaseOverAtMillis) {
+        if (context.now() < worker.leaseOverAtMillis) {
             return;
         }
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
-            if (!mayArrive || core.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
+            if (!mayArrive
+                    || context.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
                 book.lost(record, "the lease of the worker expired");
             }
         }
     }
 
-    /** Told after each look. */
+    /** Called after each poll. */
     interface Listener {
 
         /**
-         * Tells that a worker has answered a look.
+         * Called after the inventory of an answered poll was processed.
          *
          * @param worker the worker
-         * @param first whether it is the first look at this boot
+         * @param first whether this is the first answer of the worker's current boot to this owner
          */
         void onLook(WorkerRecord worker, boolean first);
 
         /**
-         * Tells that a look got no answer or was refused.
+         * Called when a poll got no answer or was refused.
          *
          * @param worker the worker
-         * @param reply the answer
+         * @param reply the refusal, or the reason why there is no answer
          */
         void onMissedLook(WorkerRecord worker, WorkerReply reply);
     }
