--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
@@ -5,84 +5,113 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Paces the tasks that fill beside tasks that serve. Load pattern: a serving task goes over its
- * target while fillers work beside it, by an amount that belongs to the pair of images and changes
- * within seconds. The fillers to which the tail is put down are slowed at the first figure over the
- * target and given back step by step; if the time over target nears the bound all of them pause.
+ * Throttles the filler tasks of a worker to protect the tail latency of the serving tasks that run
+ * next to them.
+ *
+ * <p>Load pattern: a serving task exceeds its latency target while fillers run on the same worker.
+ * The size of the effect depends on the pair of images, and the effect appears and disappears
+ * within seconds. When a tail latency reaches its target, the CPU limits of the fillers that
+ * contribute most to it are lowered; they are raised step by step after all serving tasks of the
+ * worker have recovered. If the time over target approaches {@link CellSettings#impactMillis()},
+ * all fillers of the worker are paused.
  */
 final class FillerControl {
 
-    /** The part of the allowed time over target after which all fillers pause. */
+    /** The fraction of the allowed time over target after which all fillers are paused. */
     private static final double PAUSE_AT = 0.4;
 
-    /** The longest pause, in milliseconds: two figures of half a second and their delay. */
+    /**
+     * The maximum length of a pause, in milliseconds: two latency reports, which cover 500 ms each,
+     * and their delay.
+     */
     private static final long LONGEST_PAUSE_MILLIS = 1_600;
 
-    /** The shortest pause, in milliseconds: one figure taken wholly within it. */
+    /**
+     * The minimum length of a pause, in milliseconds: a pause must contain one whole latency
+     * report.
+     */
     private static final long SHORTEST_PAUSE_MILLIS = 600;
 
-    /** The share of a paused filler, in percent. */
+    /** The CPU limit of a paused filler, in percent of its request. */
     private static final int PAUSED_PERCENT = 0;
 
-    /** The part of its share that a slowed filler keeps. */
+    /** The factor by which the CPU limit of a throttled filler is multiplied. */
     private static final double SLOW_DOWN = 0.75;
 
-    /** What a slowed filler gets back after a look without harm, in percent. */
+    /**
+     * The number of percentage points by which the CPU limit of a filler is raised after each poll
+     * at which all serving tasks of its worker have recovered.
+     */
     private static final int GIVE_BACK_PERCENT = 30;
 
-    /** The part of the target below which a serving task counts as recovered. */
+    /** The fraction of the latency target below which a serving task counts as recovered. */
     private static final double RECOVERED = 0.75;
 
-    /** The least growth of the logarithm of a tail for which a filler is slowed. */
+    /**
+     * The minimum contribution to the logarithm of a tail latency for which a filler is throttled.
+     */
     private static final double LEAST_BLAME = 0.06;
 
-    /** The part of the largest contribution from which on a filler is slowed. */
+    /** The fraction of the largest contribution at or above which a filler is throttled. */
     private static final double CULPRIT = 0.4;
 
     /**
-     * The part of the target from which on the time over it is counted, since figures are rough:
-     * all fillers pause by this time, and it must not be counted too late.
+     * The fraction of the latency target at or above which a serving task counts as over its
+     * target. It is below 1 because reported latencies are noisy, and counting the time over target
+     * too late would delay the pause of all fillers.
      */
     private static final double OVER = 0.9;
 
-    /** The part of the target from which on fillers are slowed. */
+    /** The fraction of the latency target at or above which fillers are throttled. */
     private static final double HARMED = 1;
 
     /**
-     * The longest time between looks over which a figure is put down to fillers, in milliseconds.
+     * The maximum time between two evaluations, in milliseconds, for which a latency report is
+     * attributed to the fillers that ran at the earlier one.
      */
     private static final long LONGEST_GAP_MILLIS = 1_200;
 
-    /** The shortest time over which a figure is put down to fillers, in milliseconds. */
+    /**
+     * The minimum time between two evaluations, in milliseconds, for which a latency report is
+     * attributed to fillers. Polls that are answered earlier are not evaluated.
+     */
     private static final long SHORTEST_GAP_MILLIS = 200;
 
-    /** The time between repeated orders while a late one may undo them, in milliseconds. */
+    /**
+     * The interval at which a CPU limit is sent again while an earlier request that got no answer
+     * may still arrive and override it, in milliseconds.
+     */
     private static final long REPEAT_MILLIS = 1_500;
 
-    /** What a filler adds to the logarithm of a tail that counts as its doing for the most part. */
+    /**
+     * The contribution to the logarithm of a tail latency for which 63% (1 - 1/e) of the predicted
+     * excess is attributed to a filler.
+     */
     private static final double WHOLE_PART = 0.15;
 
-    /** The weight of a new figure in the tail that admission goes by. */
+    /** The weight of a new latency report in the smoothed tail latency that admission uses. */
     private static final double TAIL_WEIGHT = 0.5;
 
-    /** The predicted tail that does no harm, as a part of the target. */
+    /**
+     * The predicted tail latency that does not count against a filler, as a fraction of the target.
+     */
     private static final double HARMLESS = 0.6;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Sends the orders. */
+    /** Sends the CPU limits to the workers. */
     private final RunOrders orders;
 
-    /** What each pair of images does. */
+    /** Predicts the effect of fillers on tail latencies, by pair of images. */
     private final PairEffects effects;
 
     /**
-     * Creates the control.
+     * Creates a throttle for the fillers of all workers of a cell.
      *
-     * @param core the shared part
-     * @param orders sends the orders
-     * @param effects what each pair of images does
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param orders sends the CPU limits to the workers
+     * @param effects learns and predicts the effect of fillers on tail latencies, by pair of images
      */
     FillerControl(CellCore core, RunOrders orders, PairEffects effects) {
         this.core = core;
@@ -91,9 +120,10 @@
     }
 
     /**
-     * Judges a worker after a look and sends the orders that follow.
+     * Evaluates the latencies that a worker has reported in its answer to a poll, and sends the CPU
+     * limits of its fillers.
      *
-     * @param worker the worker
+     * @param worker the worker that answered
      */
     void judge(WorkerRecord worker) {
         long now = core.now();
@@ -128,12 +158,12 @@
     }
 
     /**
-     * Follows for how long a serving task has been over its target.
+     * Tracks for how long a serving task has continuously been over its target.
      *
-     * @param run the run
-     * @param tail its tail, as a part of its target
-     * @param now the time, in milliseconds
-     * @return the time, in milliseconds
+     * @param run the run of the serving task
+     * @param tail its tail latency, as a fraction of its target
+     * @param now the current time, in milliseconds
+     * @return the time over target, in milliseconds, or 0 if the task is not over its target
      */
     private static long overFor(RunRecord run, double tail, long now) {
         if (tail < OVER) {
@@ -147,12 +177,13 @@
     }
 
     /**
-     * Decides at which shares the fillers of a worker work.
+     * Pauses or resumes the fillers of a worker, and adjusts their CPU limits.
      *
      * @param worker the worker
-     * @param longestOver for how long a serving task has been over its target, in milliseconds
-     * @param worst the worst tail, as a part of its target
-     * @param now the time, in milliseconds
+     * @param longestOver the longest time for which a serving task has been over its target, in
+     *     milliseconds
+     * @param worst the highest tail latency, as a fraction of the target of its task
+     * @param now the current time, in milliseconds
      */
     private void decide(WorkerRecord worker, long longestOver, double worst, long now) {
         HarmWatch harm = worker.harm;
@@ -175,7 +206,8 @@
     }
 
     /**
-     * Slows the fillers that contribute most to the tails that are over.
+     * Lowers the CPU limits of the fillers that contribute most to the tail latencies that are over
+     * their targets.
      *
      * @param worker the worker
      */
@@ -199,11 +231,11 @@
     }
 
     /**
-     * Estimates what a filler adds to the tails that are over.
+     * Estimates the contribution of a filler to the tail latencies that are over their targets.
      *
      * @param worker the worker
-     * @param filler the filler
-     * @return the sum over the tasks that are over of the logarithm of the growth
+     * @param filler the run of the filler
+     * @return the sum of its contributions to the logarithms of these tail latencies
      */
     private double blame(WorkerRecord worker, RunRecord filler) {
         if (filler.task == null) {
@@ -222,7 +254,7 @@
     }
 
     /**
-     * Gives slowed fillers some of their share back.
+     * Raises the CPU limits of throttled fillers by one step.
      *
      * @param worker the worker
      */
@@ -234,7 +266,7 @@
     }
 
     /**
-     * Sends the orders that bring the fillers of a worker to the wanted share.
+     * Sends the CPU limits of fillers that differ from the limits that the worker has confirmed.
      *
      * @param worker the worker
      */
@@ -254,23 +286,25 @@
     }
 
     /**
-     * Rates a predicted tail.
+     * Converts a predicted tail latency into a penalty.
      *
-     * @param tail the tail, as a part of its target
-     * @return 0 where it does no harm, 1 where it is over the target, and parts in between
+     * @param tail the tail latency, as a fraction of its target
+     * @return 0 up to the harmless level, 1 at the target and above, and linear in between
      */
     private static double over(double tail) {
         return Math.max(0, Math.min(1, (tail - HARMLESS) / (1 - HARMLESS)));
     }
 
     /**
-     * Predicts how many serving tasks of a worker a filler would help to bring over their target:
-     * from their tails now, what has started since they were told, and the filler itself. A task
-     * counts in proportion to what the filler adds to its tail.
+     * Predicts how many serving tasks of a worker a filler would help to push over their targets.
+     * The prediction starts from the smoothed tail latencies and adds the effect of the fillers
+     * that have started since the last evaluation and of the new filler. A task counts in
+     * proportion to the contribution of the new filler to its tail latency.
      *
-     * @param worker the worker
+     * @param worker the worker on which the filler would start
      * @param spec the step of the filler
-     * @return the number, in parts where the prediction is near the target
+     * @return the expected number of serving tasks, with fractions for predictions close to the
+     *     target
      */
     double harm(WorkerRecord worker, StepSpec spec) {
         Map<String, Double> added = FillerShares.added(worker, spec);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerShares.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerShares.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 import org.damasktiller.scheduler.model.StepSpec;
 
-/** Adds up what the fillers of a worker work, by image. */
+/** Computes the share of a worker's CPU that its fillers use, by image. */
 final class FillerShares {
 
     /** Prevents instantiation. */
     private FillerShares() {}
 
     /**
-     * Adds up what the fillers of a worker work at the shares that the worker has told.
+     * Computes the CPU shares that the fillers of a worker use at the limits that the worker has
+     * confirmed.
      *
      * @param worker the worker
-     * @return the processors by image, as parts of the worker's
+     * @return the shares by image, as fractions of the worker's CPU
      */
     static Map<String, Double> present(WorkerRecord worker) {
         Map<String, Double> shares = new HashMap<>();
@@ -28,12 +29,13 @@
     }
 
     /**
-     * Adds up what a filler and those that have started since the last look would add to what the
-     * fillers of a worker worked then.
+     * Computes the CPU shares that would be added since the last evaluation of a worker if another
+     * filler started: those of all its fillers at full limit, less those at the last evaluation.
      *
      * @param worker the worker
-     * @param another the step of the filler
-     * @return the processors by image, as parts of the worker's, without images that gain nothing
+     * @param another the step of the filler that would start
+     * @return the shares by image, as fractions of the worker's CPU; images without an increase are
+     *     absent
      */
     static Map<String, Double> added(WorkerRecord worker, StepSpec another) {
         Map<String, Double> shares = new HashMap<>();
@@ -49,11 +51,11 @@
     }
 
     /**
-     * Returns what a filler would work at full share.
+     * Returns the CPU share of a filler at full limit.
      *
-     * @param spec its step
+     * @param spec the step of the filler
      * @param worker the worker
-     * @return the processors, as a part of the worker's
+     * @return the share, as a fraction of the worker's CPU
      */
     static double of(StepSpec spec, WorkerRecord worker) {
         double capacity = Math.max(1, worker.entry.capacity().cpuMillicores());
@@ -61,12 +63,12 @@
     }
 
     /**
-     * Adds a filler.
+     * Adds the CPU share of a filler to that of its image.
      *
-     * @param shares the sums
+     * @param shares the shares by image, which are changed
      * @param spec the step of the filler
      * @param worker the worker
-     * @param part the share at which it works, 0 to 1
+     * @param part the CPU limit of the filler, from 0 to 1
      */
     private static void add(
             Map<String, Double> shares, StepSpec spec, WorkerRecord worker, double part) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/HarmWatch.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/HarmWatch.java
@@ -2,31 +2,29 @@
 
 import java.util.Map;
 
-/**
- * What the owner knows of the harm that the fillers of a worker do to the tasks that serve there.
- */
+/** The throttling state of the fillers of one worker. */
 final class HarmWatch {
 
-    /** Whether all fillers are paused. */
+    /** Whether all fillers of the worker are paused. */
     boolean paused;
 
-    /** When the present state began, in milliseconds. */
+    /** When the fillers were last paused or resumed, in milliseconds. */
     long sinceMillis;
 
-    /** What the fillers worked at the last look, by image. */
+    /** The CPU shares of the fillers at the last evaluation, by image. */
     Map<String, Double> lastShares = Map.of();
 
-    /** When the last look was judged, in milliseconds. */
+    /** When the latencies of the worker were last evaluated, in milliseconds. */
     long judgedAtMillis;
 
-    /** Creates a watch of a worker whose fillers work. */
+    /** Creates the state of a worker whose fillers are not paused. */
     HarmWatch() {}
 
     /**
-     * Changes the state.
+     * Records that the fillers are paused or resumed.
      *
-     * @param pause whether the fillers are to pause
-     * @param nowMillis the time, in milliseconds
+     * @param pause true to pause, false to resume
+     * @param nowMillis the current time, in milliseconds
      */
     void set(boolean pause, long nowMillis) {
         paused = pause;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
@@ -10,42 +10,42 @@
 import org.damasktiller.scheduler.model.TaskId;
 import org.jspecify.annotations.Nullable;
 
-/** A submission in the hands of its cell's owner. */
+/** An accepted submission and its progress, in the memory of the owner of its cell. */
 public final class Job {
 
-    /** What was accepted. */
+    /** The submission, its route and its service as they are stored. */
     final AcceptedSubmission accepted;
 
-    /** The revision at which the submission was stored. */
+    /** The store revision at which the submission was stored. */
     final long createdRevision;
 
     /** The occurrences that have begun, by number. */
     final Map<Integer, OccurrenceRecord> occurrences = new TreeMap<>();
 
-    /** The workers at which a run failed. */
+    /** The identifiers of the workers on which a run failed. */
     final Set<String> failedAt = new HashSet<>(2);
 
-    /** The state. */
+    /** The current state; a final state may not be stored yet. */
     SubmissionState state = SubmissionState.QUEUED;
 
-    /** Counts the changes that have to be stored. */
+    /** The number of changes to the job that have to be stored. */
     long version;
 
-    /** The version that is stored. */
+    /** The highest version that is known to be stored. */
     long committedVersion;
 
-    /** Whether progress has been stored under a key of its own. */
+    /** Whether the store has a progress record of the job. */
     boolean progressStored;
 
-    /** When this owner first saw the submission, in milliseconds. */
+    /** When this owner first read the submission, in milliseconds. */
     final long seenMillis;
 
     /**
-     * Creates a job that has not begun.
+     * Creates a job without progress. An unscheduled submission begins its only occurrence at once.
      *
-     * @param accepted what was accepted
-     * @param createdRevision the revision at which it was stored
-     * @param seenMillis the time, in milliseconds
+     * @param accepted the accepted submission
+     * @param createdRevision the store revision at which the submission was stored
+     * @param seenMillis the current time, in milliseconds
      */
     Job(AcceptedSubmission accepted, long createdRevision, long seenMillis) {
         this.accepted = accepted;
@@ -57,18 +57,18 @@
     }
 
     /**
-     * Returns the identifier.
+     * Returns the identifier of the submission.
      *
-     * @return the identifier
+     * @return the identifier, which the caller has chosen
      */
     String id() {
         return accepted.submission().id();
     }
 
     /**
-     * Begins an occurrence unless it has begun.
+     * Returns an occurrence, and creates it if it has not begun.
      *
-     * @param number its number
+     * @param number the number of the occurrence, from 0
      * @return the occurrence
      */
     OccurrenceRecord begin(int number) {
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Begins the occurrences that are due.
+     * Begins the occurrences of a scheduled submission that are due.
      *
-     * @param unixMillis the latest time that counts as due, in milliseconds since 1970
+     * @param unixMillis the latest due time of an occurrence to begin, in milliseconds since 1970
      */
     void beginDue(long unixMillis) {
         Submission submission = accepted.submission();
@@ -93,9 +93,10 @@
     }
 
     /**
-     * Finds a task, beginning its occurrence if a worker has told of it first.
+     * Finds a task by its identifier. Begins the occurrence of the task if a worker reports the
+     * task before this owner has begun the occurrence.
      *
-     * @param id the name
+     * @param id the identifier of the task
      * @return the task, or null if the submission has no such task
      */
     @Nullable TaskRecord find(TaskId id) {
@@ -109,9 +110,9 @@
     }
 
     /**
-     * Tells whether every occurrence is done.
+     * Returns whether every occurrence of the submission is done.
      *
-     * @return whether they are
+     * @return whether all occurrences have begun and are done
      */
     boolean allDone() {
         Submission submission = accepted.submission();
@@ -121,9 +122,9 @@
     }
 
     /**
-     * Returns the number of the occurrence that follows the highest one that has begun.
+     * Returns the number of the occurrence after the highest one that has begun.
      *
-     * @return the number
+     * @return the number, 0 if none has begun
      */
     private int nextOccurrence() {
         return occurrences.keySet().stream().mapToInt(number -> number + 1).max().orElse(0);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
@@ -11,34 +11,39 @@
 import org.damasktiller.scheduler.model.TaskId;
 import org.jspecify.annotations.Nullable;
 
-/** Applies the ends of runs to jobs, and ends jobs that are done, failed or cancelled. */
+/**
+ * Updates jobs with the outcomes of their runs, and finishes jobs that have succeeded, failed or
+ * been cancelled.
+ */
 final class JobBook {
 
-    /** The attempts of a task where the manifest no longer names the route. */
+    /** The number of attempts of a task whose route is no longer in the manifest. */
     private static final int DEFAULT_ATTEMPTS = 2;
 
-    /** At most one worker in so many may be suspect. */
+    /**
+     * The number of workers per suspect worker: at most one worker in this many may become suspect.
+     */
     private static final int LEAST_SOUND_FACTOR = 4;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Stores the changes. */
+    /** Stores the changes of jobs. */
     private final CommitLoop commits;
 
     /** Stops runs. */
     private final RunOrders orders;
 
-    /** The figures of run times. */
+    /** Learns how long tasks take. */
     private final RunTimes runTimes;
 
     /**
-     * Creates a book.
+     * Creates a tracker for the jobs of a cell.
      *
-     * @param core the shared part
-     * @param commits stores the changes
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param commits stores the changes of jobs
      * @param orders stops runs
-     * @param runTimes the figures of run times
+     * @param runTimes learns how long tasks take
      */
     JobBook(CellCore core, CommitLoop commits, RunOrders orders, RunTimes runTimes) {
         this.core = core;
@@ -50,7 +55,7 @@
     /**
      * Finds the task of an open submission.
      *
-     * @param id the name
+     * @param id the identifier of the task
      * @return the task, or null if the submission is not open or has no such task
      */
     @Nullable TaskRecord find(TaskId id) {
@@ -59,7 +64,8 @@
     }
 
     /**
-     * Notes that a run is confirmed at work.
+     * Records that a worker has confirmed a run of a task. The first confirmed run of a job changes
+     * its state from queued to running.
      *
      * @param task the task
      */
@@ -75,11 +81,12 @@
     }
 
     /**
-     * Applies an end that a worker lists.
+     * Applies the end of a run that a worker has reported.
      *
      * @param worker the worker
-     * @param end the end
-     * @return the end with the change that must be stored before the worker may forget it
+     * @param end the end of the run
+     * @return the end with the version of the job that must be stored before the end is
+     *     acknowledged to the worker
      */
     PendingEnd apply(WorkerRecord worker, EndView end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
@@ -118,10 +125,11 @@
     }
 
     /**
-     * Applies the loss of a run that left no end: its worker restarted or its lease expired.
+     * Applies the loss of a run whose end no worker reports, for example because its worker has
+     * restarted or its lease has expired.
      *
      * @param record the run
-     * @param reason why the run is known to be over
+     * @param reason why the run cannot be active any more, for the log
      */
     void lost(RunRecord record, String reason) {
         record.worker.remove(record);
@@ -143,7 +151,8 @@
     }
 
     /**
-     * Ends a job that its caller has cancelled.
+     * Ends a job that its caller has cancelled, and stops its runs. The store already has the
+     * cancellation.
      *
      * @param job the job
      */
@@ -156,7 +165,7 @@
     }
 
     /**
-     * Ends a job whose final state is stored.
+     * Removes a job whose final state has been stored.
      *
      * @param job the job
      */
@@ -177,9 +186,9 @@
     }
 
     /**
-     * Counts the submissions of each route that wait for their first start.
+     * Counts the submissions without a confirmed run.
      *
-     * @return the counts by the name of the route
+     * @return the counts by the name of the route, without routes that have none
      */
     Map<String, Integer> pending() {
         Map<String, Integer> counts = new TreeMap<>();
@@ -192,11 +201,11 @@
     }
 
     /**
-     * Changes a task by an end.
+     * Updates a task with the end of one of its runs.
      *
      * @param task the task
-     * @param worker the worker
-     * @param end the end
+     * @param worker the worker that ran it
+     * @param end the end of the run
      */
     private void take(TaskRecord task, WorkerRecord worker, EndView end) {
         boolean newest = end.run() >= task.endedRun;
@@ -211,7 +220,8 @@
                 task.failedAt.add(worker.id);
             }
             default -> {
-                // Nothing but the saved progress is kept of a run that was ended by others.
+                // A run that was ended from outside says nothing about the task; only its
+                // checkpoint is kept.
             }
         }
         if (newest) {
@@ -223,7 +233,7 @@
     }
 
     /**
-     * Marks a task as done, and with one member all of its gang; other runs of them are stopped.
+     * Marks a task as done and stops its other runs. A member of a gang completes the whole gang.
      *
      * @param task the task
      */
@@ -238,9 +248,10 @@
     }
 
     /**
-     * Stops the other members of a gang of which one has ended.
+     * Stops all runs of a gang after the run of one member has ended. Does nothing for a task that
+     * is not in a gang.
      *
-     * @param task the member that has ended
+     * @param task the member whose run has ended
      */
     private void breakGang(TaskRecord task) {
         if (!task.step.spec.gang()) {
@@ -252,7 +263,7 @@
     }
 
     /**
-     * Stops the runs of a task.
+     * Stops all runs of a task.
      *
      * @param task the task
      */
@@ -263,10 +274,10 @@
     }
 
     /**
-     * Keeps saved progress; a gang shares that of any member.
+     * Stores a checkpoint in a task, and in all members if the task belongs to a gang.
      *
      * @param task the task
-     * @param checkpoint the saved progress, empty for none
+     * @param checkpoint the checkpoint, or an empty string to keep the present one
      */
     private static void keepCheckpoint(TaskRecord task, String checkpoint) {
         if (checkpoint.isEmpty()) {
@@ -280,12 +291,12 @@
     }
 
     /**
-     * Notes what an end says of its worker and of the run times of its image.
+     * Updates the failure record of a worker, and the run times of an image, with the end of a run.
      *
-     * @param job the job
-     * @param worker the worker
-     * @param record the run, or null if it was not known
-     * @param end the end
+     * @param job the job of the run
+     * @param worker the worker that reports the end
+     * @param record the run, or null if this owner did not know it
+     * @param end the end of the run
      */
     private void noteConduct(
             Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
@@ -300,11 +311,12 @@
     }
 
     /**
-     * Notes a failed run. One of a submission that has failed elsewhere says nothing of the worker;
-     * and where many workers are suspect, the submissions are at fault.
+     * Updates the failure record of a worker with a failed run. The failure does not count against
+     * the worker if the submission has also failed on another worker, or if so many workers are
+     * suspect that the submissions are the likely cause.
      *
-     * @param job the job
-     * @param worker the worker
+     * @param job the job of the run
+     * @param worker the worker that ran it
      */
     private void noteFailure(Job job, WorkerRecord worker) {
         boolean elsewhere = job.failedAt.stream().anyMatch(id -> !id.equals(worker.id));
@@ -319,7 +331,8 @@
     }
 
     /**
-     * Ends a job that is done or has used up its attempts.
+     * Sets the final state of a job that is done or has a task without attempts left, and stops its
+     * runs.
      *
      * @param job the job
      */
@@ -336,10 +349,10 @@
     }
 
     /**
-     * Tells whether a task or a gang has used up its attempts.
+     * Returns whether any task or gang of a job has no attempts left.
      *
      * @param job the job
-     * @return whether one has
+     * @return whether one has none left
      */
     private boolean exhausted(Job job) {
         int attempts = attempts(job);
@@ -354,11 +367,12 @@
     }
 
     /**
-     * Tells whether a task of a step or its gang has used up its attempts.
+     * Returns whether any unfinished task of a step has no attempts left. The members of a gang
+     * share their attempts.
      *
      * @param step the step
-     * @param attempts the attempts
-     * @return whether one has
+     * @param attempts the number of runs that may fail
+     * @return whether one has none left
      */
     private static boolean exhausted(StepRecord step, int attempts) {
         if (step.spec.gang()) {
@@ -370,10 +384,10 @@
     }
 
     /**
-     * Returns how often a task of a job may fail.
+     * Returns how many runs of a task of a job may fail before the job fails.
      *
      * @param job the job
-     * @return the number of attempts
+     * @return the number of attempts, at least 1
      */
     int attempts(Job job) {
         Route route = core.manifest.byName(job.accepted.route());
@@ -381,7 +395,7 @@
     }
 
     /**
-     * Stops every run of a job.
+     * Stops all runs of a job.
      *
      * @param job the job
      */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OccurrenceRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OccurrenceRecord.java
@@ -4,23 +4,26 @@
 import java.util.List;
 import org.damasktiller.scheduler.model.StepSpec;
 
-/** One pass over the steps of a submission. */
+/**
+ * One execution of all steps of a submission. A scheduled submission has one per due time; any
+ * other submission has a single one.
+ */
 public final class OccurrenceRecord {
 
-    /** The job. */
+    /** The job that this is an occurrence of. */
     final Job job;
 
     /** The number of the occurrence, from 0. */
     final int number;
 
-    /** The steps. */
+    /** The steps in the order of the submission. */
     final List<StepRecord> steps = new ArrayList<>();
 
     /**
-     * Creates a record of an occurrence that has not begun.
+     * Creates an occurrence in which no task has run.
      *
-     * @param job the job
-     * @param number the number
+     * @param job the job that this is an occurrence of
+     * @param number the number of the occurrence, from 0
      */
     OccurrenceRecord(Job job, int number) {
         this.job = job;
@@ -32,9 +35,9 @@
     }
 
     /**
-     * Tells whether every step is done.
+     * Returns whether every step is done.
      *
-     * @return whether they are
+     * @return whether all steps are done
      */
     boolean done() {
         return steps.stream().allMatch(StepRecord::done);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PairEffects.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PairEffects.java
@@ -4,61 +4,84 @@
 import java.util.Map;
 
 /**
- * Learns how much fillers of one image lengthen the tail of serving tasks of another. Load pattern:
- * the effect belongs to the pair of images; some serving images bear every filler, others few. The
- * logarithm of the tail over its level without fillers is modelled as the sum over the fillers'
- * images of their share of the worker's processors times a factor, corrected by each figure in
- * proportion to the shares (normalised least mean squares). All workers of a cell share the
- * factors.
+ * Learns how much fillers of one image increase the tail latency of serving tasks of another.
+ *
+ * <p>Load pattern: the effect is specific to the pair of images. Some serving images tolerate every
+ * filler, others only a few.
+ *
+ * <p>The logarithm of the ratio of the tail latency to its level without fillers is modelled as a
+ * sum over the images of the fillers: the share of the worker's CPU that they use, times a
+ * coefficient of the pair. Each observation corrects the coefficients in proportion to these shares
+ * (normalized least mean squares). All workers of a cell share one model.
  */
 final class PairEffects {
 
-    /** The variance of the logarithm of a figure: figures are rough, and loads swing. */
+    /**
+     * The variance of the logarithm of an observed tail latency. Reports are noisy, and load
+     * fluctuates.
+     */
     private static final double FIGURE_VARIANCE = 0.5;
 
-    /** The variance of the factor of a pair that has not been seen. */
+    /** The initial variance of the coefficient of a pair. */
     private static final double FIRST_VARIANCE = 60;
 
-    /** What a figure adds to the variance of the pairs that it shows, since effects change. */
+    /**
+     * The increase in the variance of a coefficient per observation, since effects change over
+     * time.
+     */
     private static final double DRIFT = 0.01;
 
-    /** The factor of a pair that has not been seen: a small effect, so that pairs are tried. */
+    /**
+     * The initial coefficient of a pair. It predicts a small effect, so that new pairs are tried.
+     */
     private static final double FIRST_FACTOR = 4;
 
-    /** The largest factor. */
+    /** The maximum coefficient. */
     private static final double LARGEST_FACTOR = 80;
 
-    /** The largest logarithm of a tail's growth that is believed. */
+    /** The maximum logarithm of the growth of a tail latency; higher observations are clipped. */
     private static final double LARGEST_GROWTH = 3.5;
 
-    /** The smallest tail, as a part of the target; a figure of zero has no logarithm. */
+    /**
+     * The minimum tail latency, as a fraction of the target. It keeps the logarithm defined when a
+     * report is zero.
+     */
     private static final double SMALLEST_TAIL = 0.01;
 
-    /** The weight of a new figure of the tail without fillers. */
+    /** The weight of a new observation of the tail latency without fillers. */
     private static final double BASE_WEIGHT = 0.05;
 
-    /** The tail without fillers before it is known, as a part of the target. */
+    /**
+     * The assumed tail latency without fillers before the first observation, as a fraction of the
+     * target.
+     */
     private static final double FIRST_BASE = 0.4;
 
-    /** The level without fillers that is believed at most, as a part of the target. */
+    /**
+     * The maximum tail latency without fillers, as a fraction of the target; higher observations
+     * are clipped.
+     */
     private static final double LARGEST_BASE = 0.8;
 
-    /** The effects by serving image and filler image. */
+    /** The effects by the image of the serving task and then by the image of the filler. */
     private final Map<String, Map<String, Effect>> effects = new HashMap<>();
 
-    /** The tails without fillers by serving image, as parts of the target. */
+    /**
+     * The tail latencies without fillers, as fractions of the target, by the image of the serving
+     * task.
+     */
     private final Map<String, Double> bases = new HashMap<>();
 
-    /** Creates a record without observations. */
+    /** Creates a model without observations. */
     PairEffects() {}
 
     /**
-     * Learns from a figure.
+     * Learns from a reported tail latency.
      *
      * @param image the image of the serving task
-     * @param tail its tail, as a part of its target
-     * @param shares what fillers of each image worked meanwhile, as parts of the worker's
-     *     processors
+     * @param tail its tail latency, as a fraction of its target
+     * @param shares the CPU shares that the fillers used when the latency was measured, by image,
+     *     as fractions of the worker's CPU; empty if there were no fillers
      */
     void observe(String image, double tail, Map<String, Double> shares) {
         if (shares.isEmpty()) {
@@ -72,11 +95,11 @@
     }
 
     /**
-     * Corrects the factors of a serving image.
+     * Corrects the coefficients of a serving image.
      *
-     * @param image the image
-     * @param error the logarithm of the growth seen over that predicted
-     * @param shares what fillers of each image worked
+     * @param image the image of the serving task
+     * @param error the observed minus the predicted logarithm of the growth
+     * @param shares the CPU shares of the fillers, by image
      */
     private void correct(String image, double error, Map<String, Double> shares) {
         Map<String, Effect> row = effects.computeIfAbsent(image, key -> new HashMap<>());
@@ -94,11 +117,12 @@
     }
 
     /**
-     * Returns the factor of a pair.
+     * Returns the coefficient of a pair of images.
      *
      * @param image the image of the serving task
      * @param filler the image of the filler
-     * @return the factor, for the whole of a worker's processors
+     * @return the logarithm of the growth of the tail latency if the filler used the worker's whole
+     *     CPU
      */
     double factor(String image, String filler) {
         Effect effect = effects.getOrDefault(image, Map.of()).get(filler);
@@ -106,11 +130,11 @@
     }
 
     /**
-     * Predicts the logarithm of a tail's growth.
+     * Predicts the growth of a tail latency.
      *
      * @param image the image of the serving task
-     * @param shares what fillers of each image work
-     * @return the logarithm
+     * @param shares the CPU shares of the fillers, by image, as fractions of the worker's CPU
+     * @return the logarithm of the ratio of the tail latency to its level without fillers
      */
     double growth(String image, Map<String, Double> shares) {
         double sum = 0;
@@ -121,33 +145,33 @@
     }
 
     /**
-     * Returns the tail without fillers.
+     * Returns the tail latency without fillers.
      *
      * @param image the image of the serving task
-     * @return the tail, as a part of its target
+     * @return the tail latency, as a fraction of the target
      */
     double base(String image) {
         return bases.getOrDefault(image, FIRST_BASE);
     }
 
-    /** What fillers of one image do to serving tasks of another. */
+    /** The effect of fillers of one image on serving tasks of another. */
     private static final class Effect {
 
-        /** The factor. */
+        /** The estimated coefficient. */
         private double factor = FIRST_FACTOR;
 
-        /** The variance of the factor. */
+        /** The variance of the estimate. */
         private double variance = FIRST_VARIANCE;
 
-        /** Creates an effect that has not been seen. */
+        /** Creates an effect without observations. */
         Effect() {}
 
         /**
-         * Corrects the factor.
+         * Corrects the coefficient by the error of a prediction.
          *
-         * @param error the logarithm of the growth seen over that predicted
-         * @param share what the fillers worked
-         * @param spread the variance of the prediction and the figure
+         * @param error the observed minus the predicted logarithm of the growth
+         * @param share the CPU share of the fillers, as a fraction of the worker's CPU
+         * @param spread the sum of the variances of the prediction and of the observation
          */
         void correct(double error, double share, double spread) {
             double gain = variance * share / spread;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PendingEnd.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PendingEnd.java
@@ -3,19 +3,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An end that has been taken in and may be acknowledged once its effect is stored.
+ * The end of a run that has been applied to its job. It may be acknowledged to the worker once the
+ * change is stored.
  *
- * @param sequence the number of the end in the worker's boot
+ * @param sequence the sequence number of the end within the boot of the worker
  * @param run the number of the run
- * @param job the job that it changed, or null if it changed none
- * @param version the version of the job that has the change
+ * @param job the job that the end may have changed, or null if the job is not open here
+ * @param version the version of the job that includes the change, 0 without a job
  */
 record PendingEnd(long sequence, int run, @Nullable Job job, long version) {
 
     /**
-     * Tells whether the effect is stored.
+     * Returns whether the change is stored.
      *
-     * @return whether it is
+     * @return whether the end needs no further commit
      */
     boolean stored() {
         return job == null || job.committedVersion >= version;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
@@ -12,65 +12,85 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses workers for tasks. Load patterns: tasks of unlike sizes in scattered holes, steps that
- * must spread, data on one rack, fillers that share what serving tasks leave unused.
+ * Selects the workers on which tasks start.
+ *
+ * <p>Load patterns: tasks of different sizes with free capacity fragmented over many workers, steps
+ * that must spread over workers, input data on one rack, and fillers that use the CPU that serving
+ * tasks leave idle.
  */
 final class Placement {
 
-    /** How many orders to one worker may be on their way at once: connections are priced. */
+    /** The maximum number of start requests in flight to one worker; connections are billed. */
     private static final int MOST_ORDERS = 6;
 
-    /** The part of a worker's processors that new lasting tasks leave free for urgent tasks. */
+    /** The fraction of a worker's CPU that new long-running tasks leave free for urgent tasks. */
     private static final double HOLE_SHARE = 0.06;
 
-    /** The part of the processors that a serving task asks for and uses on average. */
+    /** The average CPU use of a serving task, as a fraction of its request. */
     private static final double SERVING_USE = 0.35;
 
-    /** The weight of an earlier failure of the same task at a worker. */
+    /** The penalty for a worker on which an earlier run of the task failed or was too slow. */
     private static final double FAILED_HERE = 1_000;
 
-    /** The weight of a worker on which tasks get on slowly, beside the other parts. */
+    /**
+     * The penalty for a worker on which runs progress slowly, relative to the other terms of the
+     * score.
+     */
     private static final double SLOW_WORKER = 2;
 
-    /** The weight of the time that data on another rack costs, beside the other parts. */
+    /**
+     * The weight of the slowdown through input data on another rack, relative to the other terms of
+     * the score.
+     */
     private static final double REMOTE_DATA = 10;
 
-    /** The score of a worker that is not chosen. */
+    /** The score of a worker that is not selected. */
     private static final double WORST_SCORE = Double.MAX_VALUE;
 
-    /** The weight of the load of fillers beside the harm they do. */
+    /**
+     * The weight of the filler load of a worker, relative to the predicted impact on serving tasks.
+     */
     private static final double LOAD_WEIGHT = 0.3;
 
-    /** The weight of the processors left over, so that workers fill up one after the other. */
+    /**
+     * The weight of the free CPU of a worker for long-running tasks, so that workers fill up one
+     * after the other.
+     */
     private static final double LEFT_WEIGHT = 0.2;
 
-    /** The score of a worker without serving tasks: worse than one of the same image. */
+    /**
+     * The image mismatch of a worker without serving tasks: it ranks after a worker whose serving
+     * tasks all have the image of the new task.
+     */
     private static final double EMPTY_SCORE = 0.3;
 
-    /** The harm that a filler may do at once, in serving tasks over their target. */
+    /**
+     * The impact that a filler may have if it has not waited, in serving tasks pushed over their
+     * target.
+     */
     private static final double FIRST_HARM = 0.2;
 
-    /** What a filler may do more for each second that it waits, in tasks. */
+    /** The increase of the allowed impact for each second that a filler waits, in serving tasks. */
     private static final double HARM_PER_SECOND = 0.15;
 
     /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Predicts the harm of fillers. */
+    /** Predicts the impact of fillers on serving tasks. */
     private final FillerControl fillers;
 
-    /** Has the tickets of queues that need them. */
+    /** Holds the tickets for routes that need advice. */
     private final AdviceDesk advice;
 
     /**
-     * Creates the choice.
+     * Creates a selector of workers.
      *
-     * @param core the shared part
-     * @param fillers predicts the harm of fillers
-     * @param advice has the tickets of queues that need them
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param fillers predicts the impact of fillers on serving tasks
+     * @param advice holds the tickets for routes that need advice
      */
     Placement(CellCore core, FillerControl fillers, AdviceDesk advice) {
         this.core = core;
@@ -79,10 +99,10 @@
     }
 
     /**
-     * Chooses a worker for a task.
+     * Selects the worker with the lowest score for a task.
      *
      * @param task the task
-     * @return the worker, or null if none has room
+     * @return the worker, or null if none is eligible and has enough free resources
      */
     @Nullable WorkerRecord choose(TaskRecord task) {
         WorkerRecord best = null;
@@ -103,10 +123,11 @@
     }
 
     /**
-     * Chooses workers for all members of a gang at once.
+     * Selects workers for all members of a gang. A gang that prefers one rack is spread over racks
+     * if no rack has room for all members.
      *
-     * @param step the step
-     * @return a worker for each member in order, or an empty list if there is no room for all
+     * @param step the step of the gang
+     * @return a worker for each member in order, or an empty list if not all members fit
      */
     List<WorkerRecord> chooseGang(StepRecord step) {
         if (step.spec.sameRack()) {
@@ -121,11 +142,11 @@
     }
 
     /**
-     * Places the members of a gang one by one.
+     * Assigns the members of a gang one by one to the workers with the most free CPU.
      *
-     * @param step the step
-     * @param rack the rack to keep to, empty for any
-     * @return a worker for each member, or an empty list
+     * @param step the step of the gang
+     * @param rack the label that all workers must have, or an empty string for any worker
+     * @return a worker for each member in order, or an empty list if not all members fit
      */
     private List<WorkerRecord> fill(StepRecord step, String rack) {
         Map<WorkerRecord, Integer> taken = new HashMap<>();
@@ -154,9 +175,9 @@
     }
 
     /**
-     * Returns the labels that may be racks.
+     * Returns the labels that may name a rack. Labels do not say whether they name a rack.
      *
-     * @return the labels of all workers
+     * @return the labels of all workers, in alphabetical order
      */
     private Set<String> racks() {
         Set<String> racks = new TreeSet<>();
@@ -165,11 +186,11 @@
     }
 
     /**
-     * Multiplies an amount.
+     * Multiplies resources by a number of tasks.
      *
-     * @param need the amount
-     * @param count the factor
-     * @return the product
+     * @param need the resources of one task
+     * @param count the number of tasks
+     * @return the resources of all tasks
      */
     private static Resources times(Resources need, int count) {
         return new Resources(
@@ -177,12 +198,12 @@
     }
 
     /**
-     * Tells whether a task may go to a worker, its room aside.
+     * Returns whether a task may start on a worker, apart from the resources that it reserves.
      *
      * @param task the task
      * @param worker the worker
-     * @param adviceNeeded whether only advised workers may run it
-     * @return whether it may
+     * @param adviceNeeded whether the task needs a ticket for the worker
+     * @return whether the worker is eligible
      */
     private boolean allowed(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
         long now = core.now();
@@ -202,11 +223,11 @@
     }
 
     /**
-     * Tells whether a worker has the label that a step needs.
+     * Returns whether a worker has the label that a step requires.
      *
      * @param spec the step
      * @param worker the worker
-     * @return whether it has
+     * @return whether the worker has the label or the step requires none
      */
     private static boolean labelled(StepSpec spec, WorkerRecord worker) {
         return spec.requiredLabel().isEmpty()
@@ -214,11 +235,11 @@
     }
 
     /**
-     * Tells whether one more task of a step may run on a worker.
+     * Returns whether a worker runs fewer tasks of a step than the limit per worker.
      *
      * @param step the step
      * @param worker the worker
-     * @return whether it may
+     * @return whether one more task of the step may start there
      */
     private static boolean spread(StepRecord step, WorkerRecord worker) {
         int most = step.spec.maximumPerWorker();
@@ -237,11 +258,12 @@
     }
 
     /**
-     * Tells whether a worker has processors for a task beside what must be left to others.
+     * Returns whether the CPU of a worker suffices for a filler, or for a new long-running task
+     * that has to leave some of it free for urgent tasks. Other tasks are not restricted here.
      *
      * @param task the task
      * @param worker the worker
-     * @return whether it has
+     * @return whether the CPU suffices
      */
     private boolean roomBeside(TaskRecord task, WorkerRecord worker) {
         StepSpec spec = task.step.spec;
@@ -258,10 +280,10 @@
     }
 
     /**
-     * Returns the processors that the fillers of a worker ask for.
+     * Returns the CPU that the fillers of a worker request.
      *
      * @param worker the worker
-     * @return the processors, in millicores
+     * @return the CPU, in millicores
      */
     private static long fillerLoad(WorkerRecord worker) {
         long load = 0;
@@ -274,10 +296,10 @@
     }
 
     /**
-     * Estimates the processors that the other tasks of a worker leave unused.
+     * Estimates the CPU that the tasks of a worker other than its fillers leave idle.
      *
      * @param worker the worker
-     * @return the processors, in millicores
+     * @return the CPU, in millicores
      */
     private static long unused(WorkerRecord worker) {
         long used = 0;
@@ -289,11 +311,11 @@
     }
 
     /**
-     * Returns the harm that a filler may do: more, the longer it waits, so that each pair is tried
-     * some time and the factors stay fresh.
+     * Returns the impact on serving tasks that a filler may have. It grows with the waiting time,
+     * so that each pair of images is tried from time to time and its coefficient stays up to date.
      *
-     * @param task the filler
-     * @return the number of serving tasks over their target
+     * @param task the task of the filler
+     * @return the allowed impact, as a number of serving tasks pushed over their target
      */
     private double bearable(TaskRecord task) {
         long waited = task.readySinceMillis == 0 ? 0 : core.now() - task.readySinceMillis;
@@ -301,12 +323,14 @@
     }
 
     /**
-     * Tells how badly a serving task goes with those of a worker: tasks of one image bear the same
-     * fillers, so that a worker of one image has fillers that do no harm there.
+     * Returns how many of the serving tasks of a worker run another image. Tasks of one image
+     * tolerate the same fillers, so a worker whose serving tasks all have one image can run fillers
+     * that harm none of them.
      *
      * @param worker the worker
-     * @param image the image of the task
-     * @return the part of the worker's serving tasks that have another image
+     * @param image the image of the task to place
+     * @return the fraction of the worker's serving tasks that have another image, or a constant if
+     *     it has no serving task
      */
     private static double strangers(WorkerRecord worker, String image) {
         int serving = 0;
@@ -321,7 +345,7 @@
     }
 
     /**
-     * Scores a worker for a task; the lowest score is chosen.
+     * Computes the score of a worker for a task; the lowest score wins.
      *
      * @param task the task
      * @param worker the worker
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunKey.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunKey.java
@@ -3,9 +3,9 @@
 import org.damasktiller.scheduler.model.TaskId;
 
 /**
- * Names a run of a task.
+ * Identifies a run of a task.
  *
- * @param task the task
- * @param run the number of the run
+ * @param task the identifier of the task
+ * @param run the number of the run, which rises with each run of the task
  */
 record RunKey(TaskId task, int run) {}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
@@ -5,44 +5,55 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * Sends orders to workers. A start without an answer leaves the run uncertain; it is settled by an
- * inventory that has it, or by an acknowledged stop of that very run.
+ * Sends requests to start, stop and throttle runs to workers.
+ *
+ * <p>After a start request without an answer, the state of the run is uncertain. It is resolved by
+ * an inventory that lists the run, or by an acknowledged request to stop that very run.
  */
 final class RunOrders {
 
-    /** How late an order without an answer may still be carried out, in milliseconds. */
+    /**
+     * The maximum time after which a request without an answer may still be carried out, in
+     * milliseconds.
+     */
     static final long LATEST_ARRIVAL_MILLIS = 13_000;
 
-    /** The pause before a stop is sent again, in milliseconds. */
+    /** The delay before a failed stop request is sent again, in milliseconds. */
     private static final long STOP_RETRY_MILLIS = 150;
 
-    /** How long a worker that had no room counts as full, in milliseconds: one look. */
+    /**
+     * How long a worker counts as full after it rejected a start for lack of resources, in
+     * milliseconds: about one poll.
+     */
     private static final long FULL_MILLIS = 400;
 
-    /** How long an unhealthy worker is left alone, in milliseconds. */
+    /** How long a worker gets no starts after it reported that it is unhealthy, in milliseconds. */
     private static final long BUSY_MILLIS = 1_500;
 
-    /** How long a worker that left a start unanswered is left alone, in milliseconds. */
+    /** How long a worker gets no starts after it left one unanswered, in milliseconds. */
     private static final long MUTE_MILLIS = 1_000;
 
-    /** How long a task waits after a start that its worker did not understand, in milliseconds. */
+    /**
+     * The delay before a task whose start request the worker did not understand is started again,
+     * in milliseconds.
+     */
     private static final long INVALID_MILLIS = 1_000;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Told when what waits or the room may have changed. */
+    /** Called when the waiting tasks or the free resources may have changed. */
     private final Runnable changed;
 
-    /** Told when the worker has another owner. */
+    /** Called when a worker has seen a higher fencing token, so that the cell has another owner. */
     private final Runnable doubted;
 
     /**
-     * Creates the sender.
+     * Creates a sender without requests in flight.
      *
-     * @param core the shared part
-     * @param changed told when what waits or the room may have changed
-     * @param doubted told when a worker has seen a higher fencing token
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param changed called when the waiting tasks or the free resources may have changed
+     * @param doubted called when a worker has seen a higher fencing token
      */
     RunOrders(CellCore core, Runnable changed, Runnable doubted) {
         this.core = core;
@@ -51,12 +62,12 @@
     }
 
     /**
-     * Starts a run of a task.
+     * Starts a run of a task, and reserves its resources on the worker.
      *
      * @param task the task
      * @param worker the worker
-     * @param run the number of the run
-     * @param ticket the ticket of the advice service, empty for none
+     * @param run the number of the run, higher than those of all earlier runs of the task
+     * @param ticket the ticket of the advice service, or an empty string if none is needed
      */
     void start(TaskRecord task, WorkerRecord worker, int run, String ticket) {
         long now = core.now();
@@ -105,7 +116,7 @@
     }
 
     /**
-     * Takes the answer to a start.
+     * Handles the answer to a start request.
      *
      * @param record the run
      * @param reply the answer
@@ -149,10 +160,10 @@
     }
 
     /**
-     * Notes what a refused start says of the worker and the task.
+     * Records the consequences of a rejected start for the worker and the task.
      *
      * @param record the run
-     * @param status how the start ended
+     * @param status the reason for the rejection
      */
     private void penalise(RunRecord record, WorkerStatus status) {
         WorkerRecord worker = record.worker;
@@ -177,7 +188,7 @@
     }
 
     /**
-     * Stops a run.
+     * Marks a run as stopping, and sends the stop request.
      *
      * @param record the run
      */
@@ -191,7 +202,7 @@
     }
 
     /**
-     * Sends the order to stop unless one is on its way or acknowledged.
+     * Sends a stop request unless one is in flight or acknowledged.
      *
      * @param record the run
      */
@@ -209,7 +220,7 @@
     }
 
     /**
-     * Takes the answer to a stop.
+     * Handles the answer to a stop request.
      *
      * @param record the run
      * @param reply the answer
@@ -238,9 +249,10 @@
     }
 
     /**
-     * Sets the share at which a run is let work, unless an order for it is on its way.
+     * Sends the wanted CPU limit of a run, unless such a request is in flight.
      *
-     * @param record the run, whose wanted share differs from the present one
+     * @param record the run, whose wanted limit differs from the confirmed one or must be sent
+     *     again
      */
     void pace(RunRecord record) {
         if (record.pacing || core.over) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunPhase.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunPhase.java
@@ -1,13 +1,13 @@
 package org.damasktiller.scheduler.cell;
 
-/** What the owner knows of a run. */
+/** The state of a run as known to the owner of its cell. */
 public enum RunPhase {
-    /** The order to start is on its way. */
+    /** The start request is in flight. */
     STARTING,
     /** The worker has confirmed the run. */
     RUNNING,
-    /** The order to start got no answer: the run may be there, or may come late. */
+    /** The start request got no answer: the worker may run it, or may still receive it. */
     UNCERTAIN,
-    /** The run is to stop; it may be there until the worker lists its end. */
+    /** The run has to stop. It may be active until the worker reports its end. */
     STOPPING
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
@@ -4,106 +4,131 @@
 import org.damasktiller.scheduler.model.TaskId;
 import org.jspecify.annotations.Nullable;
 
-/** A run that is or may be active on a worker. It takes room there until its end is known. */
+/**
+ * A run that is or may be active on a worker. It occupies resources of the worker until its end is
+ * known.
+ */
 public final class RunRecord {
 
-    /** Stands for a share or load that has not been told. */
+    /** The value of a CPU limit, load, progress or time that is not known. */
     static final int UNKNOWN = -1;
 
-    /** The full share. */
+    /** The CPU limit of a run that is not throttled, in percent of its request. */
     static final int FULL_PERCENT = 100;
 
-    /** The name of the task. */
+    /** The identifier of the task. */
     final TaskId id;
 
     /** The number of the run. */
     final int run;
 
-    /** The worker. */
+    /** The worker that runs it. */
     final WorkerRecord worker;
 
-    /** The task, or null if the submission is not known or over, and the run must only stop. */
+    /**
+     * The task, or null if its submission is unknown or over or the task must not run here; such a
+     * run is only stopped.
+     */
     final @Nullable TaskRecord task;
 
-    /** What the run reserves, in the worker's room. */
+    /** The resources that the run reserves on the worker. */
     final Resources reserved;
 
-    /** When the order to start was sent, or the run was first seen, in milliseconds. */
+    /** When the start request was sent or a poll first listed the run, in milliseconds. */
     final long sinceMillis;
 
-    /** What is known of the run. */
+    /** The state of the run as known to this owner. */
     RunPhase phase;
 
-    /** The saved progress seen last. */
+    /** The last checkpoint that the worker has reported, empty for none. */
     String checkpoint = "";
 
-    /** The saved progress from which the run started, empty for none. */
+    /** The checkpoint from which the run resumed, empty for none. */
     String startCheckpoint = "";
 
-    /** How much of its work the run has done, in percent, or UNKNOWN. */
+    /** The part of its work that the run has done, in percent, or {@link #UNKNOWN}. */
     int progressPercent = UNKNOWN;
 
-    /** When the present window of measured progress began, in milliseconds, or UNKNOWN. */
+    /**
+     * When the current window of the progress measurement began, in milliseconds, or {@link
+     * #UNKNOWN} if there is none.
+     */
     long windowBeganMillis = UNKNOWN;
 
-    /** The progress at the beginning of that window, in percent. */
+    /** The progress at the beginning of the current window, in percent. */
     int windowPercent;
 
-    /** The work done in the last window for the time it took; 1 where the run is on its own. */
+    /**
+     * The work done in the last window divided by its length; 1 for a run at its expected speed.
+     */
     double rate = 1;
 
-    /** Whether the run is being stopped to go on elsewhere. */
+    /** Whether the run is being stopped to continue on another worker. */
     boolean moving;
 
-    /** Whether the run was ever let work at less than its full share. */
+    /** Whether the run was, or may have been, throttled at any time. */
     boolean slowed;
 
-    /** The share at which the worker lets the run work as far as told, in percent, or UNKNOWN. */
+    /** The CPU limit that the worker has confirmed, in percent, or {@link #UNKNOWN}. */
     int percent = FULL_PERCENT;
 
-    /** Until when an order to change the share that got no answer may still be carried out. */
+    /**
+     * Until when a request to change the CPU limit that got no answer may still be carried out, in
+     * milliseconds.
+     */
     long paceDoubtUntilMillis;
 
-    /** When the last order to change the share was sent, in milliseconds. */
+    /** When the last request to change the CPU limit was sent, in milliseconds. */
     long pacedAtMillis;
 
-    /** The share that the owner wants. */
+    /** The CPU limit that the worker should apply, in percent. */
     int wantedPercent = FULL_PERCENT;
 
-    /** The share that the owner allows a filler while not all fillers are paused. */
+    /** The CPU limit of a filler while the fillers of its worker are not paused, in percent. */
     int allowedPercent = FULL_PERCENT;
 
-    /** Whether an order to change the share is on its way. */
+    /** Whether a request to change the CPU limit is in flight. */
     boolean pacing;
 
-    /** The tail in milliseconds of a serving task or the processors in use of any other. */
+    /**
+     * The tail latency of a serving task in milliseconds, or the CPU use of any other task in
+     * millicores; negative if the worker has not reported it.
+     */
     long load = UNKNOWN;
 
-    /** The number of the look after which the phase can be judged by an inventory. */
+    /**
+     * The number of the first poll whose inventory shows whether the run is active on the worker.
+     */
     long settledAfterLook;
 
-    /** Whether the worker has acknowledged the order to stop in its present boot. */
+    /** Whether the worker has acknowledged the stop request in its current boot. */
     boolean stopAcknowledged;
 
-    /** Whether an order to stop is on its way. */
+    /** Whether a stop request is in flight. */
     boolean stopSent;
 
-    /** The smoothed tail of a serving run, as a part of its target, or UNKNOWN. */
+    /**
+     * The smoothed tail latency of a serving task, as a fraction of its target, or {@link
+     * #UNKNOWN}.
+     */
     double tail = UNKNOWN;
 
-    /** Since when a serving run has been over its target, in milliseconds, or -1. */
+    /**
+     * Since when a serving task has been over its target, in milliseconds, or {@link #UNKNOWN} if
+     * it is not.
+     */
     long overSinceMillis = UNKNOWN;
 
     /**
-     * Creates a record.
+     * Creates a record of a run that is not throttled.
      *
-     * @param id the name of the task
+     * @param id the identifier of the task
      * @param run the number of the run
-     * @param worker the worker
-     * @param task the task, or null if it is not known
-     * @param reserved what the run reserves
-     * @param phase what is known of the run
-     * @param sinceMillis the time, in milliseconds
+     * @param worker the worker that runs it
+     * @param task the task, or null if the run must only be stopped
+     * @param reserved the resources that the run reserves on the worker
+     * @param phase the state of the run as known to this owner
+     * @param sinceMillis the current time, in milliseconds
      */
     RunRecord(
             TaskId id,
@@ -123,9 +148,9 @@
     }
 
     /**
-     * Begins a window of measured progress.
+     * Begins a window of the progress measurement.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     void beginWindow(long nowMillis) {
         windowBeganMillis = nowMillis;
@@ -142,16 +167,16 @@
     }
 
     /**
-     * Tells whether the run did the whole work of its task at its full share.
+     * Returns whether the run did all the work of its task without ever being throttled.
      *
-     * @return whether it did, so that its duration says how large the task is
+     * @return whether the duration of the run is the duration of the task
      */
     boolean undisturbed() {
         return !slowed && startCheckpoint.isEmpty();
     }
 
     /**
-     * Tells whether the run belongs to a serving task.
+     * Returns whether the run belongs to a serving task, which has a latency target.
      *
      * @return whether it does
      */
@@ -160,16 +185,16 @@
     }
 
     /**
-     * Returns the response time that the task has to keep.
+     * Returns the target of the tail latency of the task.
      *
-     * @return the time, in milliseconds, zero if it has none to keep
+     * @return the target, in milliseconds, or 0 if the task has none
      */
     long targetMillis() {
         return task == null ? 0 : task.step.spec.targetMillis();
     }
 
     /**
-     * Tells whether the run belongs to a filling task.
+     * Returns whether the run belongs to a filler, which uses only CPU that other tasks leave idle.
      *
      * @return whether it does
      */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimes.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimes.java
@@ -5,31 +5,33 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Learns how declared durations relate to real ones. Load pattern: the durations that callers
- * declare are far off, by a factor that tasks of one image share.
+ * Learns how real run times relate to declared ones.
+ *
+ * <p>Load pattern: the run times that callers declare are wrong by a large factor, which tasks of
+ * one image share.
  */
 final class RunTimes {
 
     /** The weight of a new observation. */
     private static final double WEIGHT = 0.2;
 
-    /** The least factor that is believed. */
+    /** The minimum factor; lower observations are clipped. */
     private static final double LEAST_FACTOR = 0.1;
 
-    /** The largest factor that is believed. */
+    /** The maximum factor; higher observations are clipped. */
     private static final double LARGEST_FACTOR = 10;
 
-    /** The learned factor of each image. */
+    /** The learned ratio of the real to the declared run time, by image. */
     private final Map<String, Double> factors = new HashMap<>();
 
-    /** Creates a record without observations. */
+    /** Creates an estimator without observations. */
     RunTimes() {}
 
     /**
-     * Learns from a run that was done.
+     * Learns from a run that has completed its task.
      *
-     * @param spec the step
-     * @param millis how long the run took, in milliseconds
+     * @param spec the step of the task
+     * @param millis the run time, in milliseconds
      */
     void observe(StepSpec spec, long millis) {
         if (spec.estimateMillis() <= 0) {
@@ -41,10 +43,10 @@
     }
 
     /**
-     * Returns the expected duration of a task.
+     * Returns the expected run time of a task.
      *
-     * @param spec the step
-     * @return the duration, in milliseconds
+     * @param spec the step of the task
+     * @return the run time, in milliseconds, or 0 if none is declared
      */
     long expectedMillis(StepSpec spec) {
         return (long) (spec.estimateMillis() * factors.getOrDefault(spec.image(), 1.0));
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
@@ -7,70 +7,76 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Starts what waits and has room. Load pattern: more work than room; tasks that serve come back
- * first, then urgent work, then new lasting tasks, then fillers. Within each, work that can be on
- * time comes before work that is late, and the least work left first, so that as many submissions
- * as possible are on time when not all can be.
+ * Starts waiting tasks on workers with free resources, in order of urgency.
+ *
+ * <p>Load pattern: more work than capacity. Long-running tasks that have run before are started
+ * first, then urgent work, then new long-running tasks, then fillers. Within each of these groups,
+ * work that can still be on time precedes late work, a higher priority of the route precedes a
+ * lower one, and less remaining work precedes more, so that as many submissions as possible are on
+ * time when not all can be.
  */
 final class StartPass {
 
-    /** The rank of a lasting task that has run before. */
+    /** The rank of a long-running task that has run before. */
     private static final int RANK_RESTART = 0;
 
-    /** The rank of urgent work. */
+    /** The rank of urgent work: tasks that end and are not fillers. */
     private static final int RANK_URGENT = 1;
 
-    /** The rank of a new lasting task. */
+    /** The rank of a long-running task that has not run. */
     private static final int RANK_LASTING = 2;
 
-    /** The rank of fillers. */
+    /** The rank of a filler. */
     private static final int RANK_FILLING = 3;
 
-    /** The lateness of work that can be on time. */
+    /** The lateness of work that can meet its objective. */
     private static final int ON_TIME = 0;
 
-    /** The lateness of work that will be late. */
+    /** The lateness of work that will miss its objective. */
     private static final int LATE = 1;
 
-    /** The lateness of work that comes too late to be of use. */
+    /** The lateness of work that will finish too late to be of use. */
     private static final int TOO_LATE = 2;
 
-    /** How many times the objective late work may take to be of use, from the platform's pages. */
+    /**
+     * The multiple of its objective after which work is of no use, from the platform's
+     * documentation.
+     */
     private static final int LATE_FACTOR = 3;
 
-    /** How many starts one pass orders at most, so that a pass stays short. */
+    /** The maximum number of starts in a pass, which bounds its duration. A gang is never split. */
     private static final int MOST_STARTS = 64;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Chooses workers. */
+    /** Selects workers. */
     private final Placement placement;
 
-    /** Sends the orders. */
+    /** Sends the start requests. */
     private final RunOrders orders;
 
-    /** The expected run times. */
+    /** Estimates run times. */
     private final RunTimes runTimes;
 
-    /** Has the tickets of queues that need them. */
+    /** Holds the tickets for routes that need advice. */
     private final AdviceDesk advice;
 
-    /** Tells what is known to belong to this term. */
+    /** Tells up to which store revision this owner is proven to own the cell. */
     private final OwnershipProof proof;
 
-    /** How many starts this pass has ordered. */
+    /** The number of starts in the current pass. */
     private int started;
 
     /**
-     * Creates a pass.
+     * Creates a scheduler for the jobs of a cell.
      *
-     * @param core the shared part
-     * @param placement chooses workers
-     * @param orders sends the orders
-     * @param runTimes the expected run times
-     * @param advice has the tickets of queues that need them
-     * @param proof tells what is known to belong to this term
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param placement selects workers
+     * @param orders sends the start requests
+     * @param runTimes estimates run times
+     * @param advice holds the tickets for routes that need advice
+     * @param proof tells up to which store revision this owner is proven to own the cell
      */
     StartPass(
             CellCore core,
@@ -87,7 +93,7 @@
         this.proof = proof;
     }
 
-    /** Starts what waits and has room. */
+    /** Runs one pass over all waiting steps. */
     void run() {
         started = 0;
         List<Waiting> steps = new ArrayList<>();
@@ -115,11 +121,11 @@
     }
 
     /**
-     * Tells whether tasks of a job may be started: the job is open, known to belong to this term,
-     * and no former owner can have left a run that is not known.
+     * Returns whether tasks of a job may start. The job must be open and covered by a proof of
+     * ownership, and no former owner may have left a run of it that this owner does not know.
      *
      * @param job the job
-     * @return whether they may
+     * @return whether its tasks may start
      */
     private boolean mayStart(Job job) {
         if (job.state.isFinal() || !proof.covers(job.createdRevision)) {
@@ -129,10 +135,11 @@
     }
 
     /**
-     * Collects the steps of an occurrence that wait for workers.
+     * Collects the steps of an occurrence that have waiting tasks, and records since when they
+     * wait.
      *
      * @param occurrence the occurrence
-     * @param steps the list to add to
+     * @param steps the list to which the steps are added
      */
     private void collect(OccurrenceRecord occurrence, List<Waiting> steps) {
         long now = core.now();
@@ -158,11 +165,11 @@
     }
 
     /**
-     * Describes a waiting step for the order.
+     * Computes the sort keys of a waiting step.
      *
      * @param step the step
-     * @param hasRun whether a waiting task has run before
-     * @return the description
+     * @param hasRun whether one of its waiting tasks has run before
+     * @return the step with its sort keys
      */
     private Waiting describe(StepRecord step, boolean hasRun) {
         StepSpec spec = step.spec;
@@ -188,9 +195,9 @@
     }
 
     /**
-     * Estimates the work that is left of an occurrence from one step on.
+     * Estimates the remaining work of an occurrence from a step on.
      *
-     * @param step the step
+     * @param step the first step to count
      * @return the work, in millicores times milliseconds
      */
     private double openWork(StepRecord step) {
@@ -206,7 +213,7 @@
     }
 
     /**
-     * Estimates the time that the longest chain of a job takes.
+     * Estimates how long the steps of a job take one after the other.
      *
      * @param job the job
      * @return the time, in milliseconds
@@ -220,9 +227,9 @@
     }
 
     /**
-     * Estimates the time that the steps from one on take.
+     * Estimates how long the steps of an occurrence take from a given one on.
      *
-     * @param step the step
+     * @param step the first step to count
      * @return the time, in milliseconds
      */
     private long remaining(StepRecord step) {
@@ -236,7 +243,7 @@
     }
 
     /**
-     * Starts the waiting tasks of a step while there is room.
+     * Starts the waiting tasks of a step one by one until no worker is left for the next.
      *
      * @param step the step
      */
@@ -257,9 +264,9 @@
     }
 
     /**
-     * Starts all members of a gang at once if there is room for all.
+     * Starts all members of a gang at once, or none if not all of them wait and have a worker.
      *
-     * @param step the step
+     * @param step the step of the gang
      */
     private void startGang(StepRecord step) {
         long now = core.now();
@@ -284,7 +291,7 @@
     }
 
     /**
-     * Asks for tickets if a step needs them.
+     * Requests tickets for a step if its route needs them.
      *
      * @param step the step, for which no worker was found
      */
@@ -295,27 +302,27 @@
     }
 
     /**
-     * Numbers the next run of a task.
+     * Returns the number of the next run of a task.
      *
-     * @param lastRun the highest run known
-     * @return the number
+     * @param lastRun the highest known number of a run of the task
+     * @return the number, higher than those that any former owner has used
      */
     private int nextRun(int lastRun) {
         return Math.max(lastRun, core.term.runBase()) + 1;
     }
 
     /**
-     * A step that waits.
+     * A step with waiting tasks and its sort keys; lower values come first.
      *
      * @param step the step
-     * @param rank its rank among kinds of work
-     * @param lateness whether it can be on time, late, or too late to be of use
-     * @param priority the priority of its route
-     * @param work the work that is left of it
+     * @param rank the rank of its kind of work
+     * @param lateness whether it can be on time, will be late, or will be too late to be of use
+     * @param priority the priority of its route, 0 for the most urgent
+     * @param work the remaining work from this step on, in millicores times milliseconds
      */
     private record Waiting(StepRecord step, int rank, int lateness, int priority, double work) {
 
-        /** The order in which steps get room. */
+        /** The order in which steps are started. */
         static final Comparator<Waiting> ORDER =
                 Comparator.comparingInt(Waiting::rank)
                         .thenComparingInt(Waiting::lateness)
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
@@ -9,36 +9,39 @@
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.TaskId;
 
-/** A step of an occurrence. */
+/** The tasks and the progress of one step of an occurrence. */
 public final class StepRecord {
 
-    /** What the submission says of the step. */
+    /** The step as the submission declares it. */
     final StepSpec spec;
 
-    /** The number of the step. */
+    /** The number of the step in its submission, from 0. */
     final int number;
 
-    /** The occurrence. */
+    /** The occurrence that the step belongs to. */
     final OccurrenceRecord occurrence;
 
-    /** The tasks. */
+    /** The tasks, by index. */
     final List<TaskRecord> tasks = new ArrayList<>();
 
-    /** The tickets of the advice service, by worker. */
+    /** The tickets of the advice service, by the identifier of the worker. */
     final Map<String, AdviceTicket> tickets = new HashMap<>();
 
-    /** The workers that the advice service does not allow for the step, which does not change. */
+    /**
+     * The identifiers of the workers that the advice service has rejected for this step. It does
+     * not change its answer.
+     */
     final Set<String> unadvised = new HashSet<>();
 
-    /** How many tasks are done. */
+    /** The number of tasks that are done. */
     int doneCount;
 
     /**
-     * Creates a record of a step that has not begun.
+     * Creates a step in which no task has run.
      *
-     * @param spec what the submission says
-     * @param number the number
-     * @param occurrence the occurrence
+     * @param spec the step as the submission declares it
+     * @param number the number of the step in its submission, from 0
+     * @param occurrence the occurrence that the step belongs to
      */
     StepRecord(StepSpec spec, int number, OccurrenceRecord occurrence) {
         this.spec = spec;
@@ -51,18 +54,18 @@
     }
 
     /**
-     * Tells whether every task is done.
+     * Returns whether every task is done.
      *
-     * @return whether they are
+     * @return whether all tasks are done
      */
     boolean done() {
         return doneCount == tasks.size();
     }
 
     /**
-     * Tells whether the earlier steps that this one needs are done.
+     * Returns whether the earlier steps on which this one depends are done.
      *
-     * @return whether they are
+     * @return whether the step may start
      */
     boolean unblocked() {
         for (int earlier : spec.after()) {
@@ -74,9 +77,9 @@
     }
 
     /**
-     * Marks a task as done.
+     * Marks a task as done. Does nothing if it is done already.
      *
-     * @param task the task
+     * @param task a task of this step
      */
     void markDone(TaskRecord task) {
         if (!task.done) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerControl.java
@@ -4,64 +4,84 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Finds runs that get on far more slowly than their size says, and moves them. Load pattern: tasks
- * stand still on some workers, and some workers are slow; a step is done when its last task is, so
- * that one such run holds up all of it. Fillers that are slowed for serving tasks stay.
+ * Detects runs that progress far more slowly than expected, and moves them to other workers.
+ *
+ * <p>Load pattern: runs hang on some workers, and other workers are slow. A step is done when its
+ * last task is done, so that a single straggler delays the whole step. Fillers that are throttled
+ * to protect serving tasks are not moved.
  */
 final class StragglerControl {
 
-    /** The time over which the progress of a run is measured, in milliseconds: three looks. */
+    /**
+     * The length of a window over which the progress of a run is measured, in milliseconds: three
+     * polls.
+     */
     private static final long WINDOW_MILLIS = 1_500;
 
-    /** How long a run may take until it gets on: a start, and reading its saved progress. */
+    /**
+     * The time that a run may take to start and read its checkpoint before it is measured, in
+     * milliseconds.
+     */
     private static final long WARM_UP_MILLIS = 1_200;
 
-    /** What a move costs beside the work: a stop, a start, and reading the saved progress. */
+    /** The overhead of a move in milliseconds: stopping, starting, and reading the checkpoint. */
     private static final long MOVE_MILLIS = 1_500;
 
-    /** How many times as long staying must take as moving, since the sizes are rough. */
+    /**
+     * The minimum ratio of the remaining time without a move to that with a move. Estimates of run
+     * times are inaccurate.
+     */
     private static final double GAIN = 2;
 
-    /** The least rate that is believed, so that a run that stands still has a time left. */
+    /**
+     * The minimum progress rate used in estimates, so that the remaining time of a hanging run is
+     * finite.
+     */
     private static final double LEAST_RATE = 0.02;
 
-    /** The rate from which on a worker counts as slow. */
+    /** The progress rate of a run below which its worker counts as slow. */
     private static final double SLOW_RATE = 0.5;
 
-    /** For how long a slow worker is taken last, in milliseconds: the time until it is measured. */
+    /**
+     * How long a worker counts as slow, in milliseconds: the time until its runs are measured
+     * again.
+     */
     private static final long SLOW_MILLIS = 2_500;
 
-    /** How often a task is moved at most. */
+    /** The maximum number of moves of one task. */
     private static final int MOST_MOVES = 2;
 
-    /** The most moves that are under way at a time, as a part of the workers. */
+    /**
+     * The maximum number of runs that are being moved at a time, as a fraction of the number of
+     * workers.
+     */
     private static final double MOVING_PART = 0.15;
 
-    /** The number of moves that may be under way however few workers there are. */
+    /** The number of runs that may be moved at a time in a cell with few workers. */
     private static final int LEAST_MOVING = 2;
 
-    /** The full progress, in percent. */
+    /** The progress of a finished run, in percent. */
     private static final double FULL_PERCENT = 100;
 
-    /** The shared part. */
+    /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
-    /** Tells whether another worker would take a task. */
+    /** Selects the worker that takes over a task. */
     private final Placement placement;
 
-    /** Sends the orders. */
+    /** Stops the runs to move. */
     private final RunOrders orders;
 
-    /** The expected run times. */
+    /** Estimates run times. */
     private final RunTimes runTimes;
 
     /**
-     * Creates the control.
+     * Creates a component that moves the stragglers of a cell.
      *
-     * @param core the shared part
-     * @param placement tells whether another worker would take a task
-     * @param orders sends the orders
-     * @param runTimes the expected run times
+     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param placement selects the worker that takes over a task
+     * @param orders stops the runs to move
+     * @param runTimes estimates run times
      */
     StragglerControl(CellCore core, Placement placement, RunOrders orders, RunTimes runTimes) {
         this.core = core;
@@ -71,9 +91,9 @@
     }
 
     /**
-     * Judges the runs of a worker after a look.
+     * Measures the progress of the runs of a worker after a poll, and moves stragglers.
      *
-     * @param worker the worker
+     * @param worker the worker that answered the poll
      */
     void judge(WorkerRecord worker) {
         long now = core.now();
@@ -89,11 +109,11 @@
     }
 
     /**
-     * Measures a run at the end of each window.
+     * Updates the progress rate of a run at the end of each window.
      *
      * @param run the run
-     * @param spec its step
-     * @param now the time, in milliseconds
+     * @param spec the step of its task
+     * @param now the current time, in milliseconds
      */
     private void measure(RunRecord run, StepSpec spec, long now) {
         if (run.filling() && run.wantedPercent < RunRecord.FULL_PERCENT) {
@@ -120,21 +140,22 @@
     }
 
     /**
-     * Tells whether the tasks of a step have a size by which their progress can be judged.
+     * Returns whether the run time of a step's tasks can be estimated, and its tasks may be moved
+     * one by one.
      *
      * @param spec the step
-     * @return whether they have
+     * @return whether its runs are measured
      */
     private static boolean sized(StepSpec spec) {
         return !spec.lasting() && !spec.gang() && spec.estimateMillis() > 0;
     }
 
     /**
-     * Tells whether a run would be done far sooner elsewhere.
+     * Returns whether a run would finish far sooner on another worker.
      *
      * @param run the run
      * @param task its task
-     * @return whether it would
+     * @return whether moving the run pays off and the task has moves left
      */
     private boolean gain(RunRecord run, TaskRecord task) {
         if (task.moves >= MOST_MOVES) {
@@ -148,9 +169,10 @@
     }
 
     /**
-     * Tells whether one more run may be moved, so that a fault of all workers moves few.
+     * Returns whether one more run may be moved. The limit keeps a fault of all workers from moving
+     * most runs at once.
      *
-     * @return whether one may
+     * @return whether fewer runs than the limit are being moved
      */
     private boolean mayMove() {
         int moving = 0;
@@ -165,7 +187,8 @@
     }
 
     /**
-     * Moves a run if another worker takes it now.
+     * Moves a run if another worker can take its task now: stops the run, after which its task
+     * waits for a start.
      *
      * @param run the run
      * @param task its task
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
@@ -7,53 +7,56 @@
 import java.util.TreeSet;
 import org.damasktiller.scheduler.model.TaskId;
 
-/** A task of a step and what is known of its runs. */
+/** A task of a step, its progress and its runs. */
 public final class TaskRecord {
 
-    /** The name. */
+    /** The identifier of the task. */
     final TaskId id;
 
-    /** The step of the occurrence that it belongs to. */
+    /** The step that the task belongs to. */
     final StepRecord step;
 
     /** The runs that are or may be active. */
     final List<RunRecord> runs = new ArrayList<>(1);
 
-    /** The workers at which a run of the task failed or got on too slowly. */
+    /** The identifiers of the workers on which a run of the task failed or was too slow. */
     final Set<String> failedAt = new HashSet<>(2);
 
     /** Whether the task is done. */
     boolean done;
 
-    /** The runs that have failed; their ends may be listed more than once and in any order. */
+    /**
+     * The numbers of the failed runs, empty for a long-running task, which may fail any number of
+     * times. It is a set because workers may report an end more than once and in any order.
+     */
     final Set<Integer> failedRuns = new TreeSet<>();
 
-    /** Whether a run was ever confirmed; recorded for lasting tasks only. */
+    /** Whether a worker has ever confirmed a run; recorded for long-running tasks only. */
     boolean everRan;
 
-    /** The highest run whose end is recorded. */
+    /** The highest number of a run whose end is recorded, 0 for none. */
     int endedRun;
 
-    /** The highest run ever ordered or seen. */
+    /** The highest number of a run that was started or reported, 0 for none. */
     int lastRun;
 
-    /** The saved progress, empty for none. */
+    /** The checkpoint from which the next run resumes, empty for none. */
     String checkpoint = "";
 
-    /** Before when the task is not started again, in milliseconds. */
+    /** The earliest time of the next start, in milliseconds. */
     long notBeforeMillis;
 
-    /** How often a run was stopped to go on elsewhere. */
+    /** The number of runs that were stopped to continue on another worker. */
     int moves;
 
-    /** When the task became ready to start, in milliseconds, or zero. */
+    /** When the task was first found ready to start, in milliseconds, or 0 if it was not yet. */
     long readySinceMillis;
 
     /**
-     * Creates a record of a task that has not run.
+     * Creates a task that has not run.
      *
-     * @param id the name
-     * @param step the step
+     * @param id the identifier of the task
+     * @param step the step that the task belongs to
      */
     TaskRecord(TaskId id, StepRecord step) {
         this.id = id;
@@ -61,10 +64,10 @@
     }
 
     /**
-     * Tells whether the task waits for a worker.
+     * Returns whether the task waits for a worker.
      *
-     * @param nowMillis the time, in milliseconds
-     * @return whether it does
+     * @param nowMillis the current time, in milliseconds
+     * @return whether the task is not done, has no run and may start
      */
     boolean waiting(long nowMillis) {
         return !done && runs.isEmpty() && nowMillis >= notBeforeMillis;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerConduct.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerConduct.java
@@ -1,37 +1,48 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * Tells a worker that fails everything from submissions that fail everywhere. Load pattern: some
- * workers fail all that they start while a few submissions can never be done; a worker is suspect
- * when runs of two different submissions failed there with no run done in between.
+ * Detects a worker on which runs fail because of the worker rather than of their submissions.
+ *
+ * <p>Load pattern: some workers fail every run, while a few submissions fail on every worker. A
+ * worker becomes suspect when runs of two different submissions fail on it with no successful run
+ * in between.
  */
 public final class WorkerConduct {
 
-    /** How many submissions must have failed in a row: one may be at fault itself. */
+    /**
+     * The number of submissions that must fail in a row. A single one may be the cause of its
+     * failures.
+     */
     private static final int SUSPECT_SUBMISSIONS = 2;
 
-    /** For how long a suspect worker is left alone at first, in milliseconds. */
+    /**
+     * How long a worker that becomes suspect gets no starts, in milliseconds. The time doubles with
+     * each further suspicion.
+     */
     private static final long FIRST_PENALTY_MILLIS = 2_000;
 
-    /** For how long a suspect worker is left alone at most, in milliseconds. */
+    /** The maximum time for which a suspect worker gets no starts, in milliseconds. */
     private static final long LONGEST_PENALTY_MILLIS = 8_000;
 
-    /** The submission that failed last, empty for none. */
+    /** The identifier of the submission that failed last, empty for none. */
     private String lastFailed = "";
 
-    /** How many different submissions failed in a row. */
+    /**
+     * The number of times in a row that a run failed whose submission differs from that of the
+     * failure before.
+     */
     private int failedInRow;
 
-    /** The penalty of the next suspicion, in milliseconds. */
+    /** How long the worker gets no starts if it becomes suspect again, in milliseconds. */
     private long penaltyMillis = FIRST_PENALTY_MILLIS;
 
-    /** Until when the worker is left alone, in milliseconds. */
+    /** Until when the worker gets no starts, in milliseconds. */
     private long suspectUntilMillis;
 
-    /** Creates a record without observations. */
+    /** Creates a detector without observations. */
     WorkerConduct() {}
 
-    /** Notes a run that was done. */
+    /** Records a successful run, which clears the suspicion. */
     void done() {
         lastFailed = "";
         failedInRow = 0;
@@ -40,11 +51,11 @@
     }
 
     /**
-     * Notes a run that failed.
+     * Records a failed run.
      *
-     * @param submission the submission
-     * @param nowMillis the time, in milliseconds
-     * @return whether the worker has become suspect
+     * @param submission the identifier of the submission of the run
+     * @param nowMillis the current time, in milliseconds
+     * @return whether the worker has become suspect with this failure
      */
     boolean failed(String submission, long nowMillis) {
         if (!submission.equals(lastFailed)) {
@@ -60,19 +71,20 @@
     }
 
     /**
-     * Tells whether the worker is left alone.
+     * Returns whether the worker gets no starts because it is suspect.
      *
-     * @param nowMillis the time, in milliseconds
-     * @return whether it is
+     * @param nowMillis the current time, in milliseconds
+     * @return whether it is suspect
      */
     boolean suspect(long nowMillis) {
         return nowMillis < suspectUntilMillis;
     }
 
     /**
-     * Tells whether the worker may get one task at a time only, to see whether it works again.
+     * Returns whether the worker may run only one task at a time, because no run has succeeded
+     * since it became suspect.
      *
-     * @return whether it may
+     * @return whether it is on probation
      */
     boolean onProbation() {
         return failedInRow >= SUSPECT_SUBMISSIONS;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -8,113 +8,140 @@
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.damasktiller.scheduler.port.WorkerAddress;
 
-/** A worker as the owner of its cell knows it. */
+/**
+ * A worker of the cell as known to its owner: registration, leases, runs, and unacknowledged ends.
+ */
 public final class WorkerRecord {
 
-    /** Stands for a clock that has not been read. */
+    /** The value of a clock reading that has not been taken. */
     static final long NO_CLOCK = -1;
 
     /**
-     * For how long a worker that answers is used without an entry, in milliseconds: entries that
-     * lapsed in an outage of the store come back within two seconds.
+     * How long a worker that answers is used although its entry is missing, in milliseconds.
+     * Entries that expire during an outage of the store reappear within two seconds.
      */
     private static final long UNLISTED_GRACE_MILLIS = 2_500;
 
     /**
-     * For how long an answer is relied on for starts, in milliseconds: two waits of a look, and
-     * less than a worker needs to begin a new life, in which it would have forgotten every fence.
+     * How long after an answer a worker may get starts, in milliseconds. This is two poll waits,
+     * and less than a worker needs to restart; a restarted worker has forgotten every fencing
+     * token.
      */
     private static final long FRESH_ANSWER_MILLIS = 1_000;
 
-    /** Its identifier. */
+    /** The identifier of the worker. */
     final String id;
 
-    /** The runs that are or may be active, by key. */
+    /** The runs that are or may be active on the worker, by key. */
     final Map<RunKey, RunRecord> runs = new LinkedHashMap<>();
 
-    /** The ends that have been taken in and whose acknowledgement waits for a commit. */
+    /**
+     * The ends that have been applied and wait for a commit before they are acknowledged, in order.
+     */
     final Deque<PendingEnd> pendingEnds = new ArrayDeque<>();
 
-    /** What its failures say of it. */
+    /** Detects whether runs fail because of the worker. */
     final WorkerConduct conduct = new WorkerConduct();
 
-    /** What its tasks that serve suffer. */
+    /** The throttling state of the fillers of the worker. */
     final HarmWatch harm = new HarmWatch();
 
-    /** What it registered last. */
+    /** The last known registration of the worker. */
     WorkerEntry entry;
 
-    /** Whether its entry is in the store. */
+    /** Whether the store has an entry of the worker. */
     boolean listed = true;
 
-    /** When its entry was found missing, in milliseconds. */
+    /** When the entry was found missing, in milliseconds. */
     long unlistedSinceMillis;
 
-    /** Whether the present boot has answered a look of this owner. */
+    /**
+     * Whether the current boot of the worker has answered a poll, and so knows the fencing token of
+     * this owner.
+     */
     boolean fenced;
 
-    /** When the boot that answered began, in milliseconds since 1970, or zero. */
+    /**
+     * When the boot that answered last began, in milliseconds since 1970, or 0 before the first
+     * answer.
+     */
     long bornUnixMillis;
 
-    /** The worker's clock as read last, in milliseconds, or NO_CLOCK. */
+    /** The last reading of the worker's clock, in milliseconds, or {@link #NO_CLOCK}. */
     long clockMillis = NO_CLOCK;
 
-    /** When that reading arrived, in milliseconds. */
+    /** When that reading arrived, in milliseconds on the owner's clock. */
     long clockReadAtMillis;
 
-    /** A reading of the clock that is older than the last proof of ownership, or NO_CLOCK. */
+    /**
+     * The last clock reading from before the start of a successful proof of ownership, in
+     * milliseconds, or {@link #NO_CLOCK}.
+     */
     long provenClockMillis = NO_CLOCK;
 
-    /** The reading taken when the proof that is under way began, or NO_CLOCK. */
+    /**
+     * The clock reading at the start of the proof of ownership in progress, in milliseconds, or
+     * {@link #NO_CLOCK}.
+     */
     long candidateClockMillis = NO_CLOCK;
 
-    /** By when on the owner's clock every lease that anyone gave has expired, in milliseconds. */
+    /**
+     * The time on the owner's clock by which every lease that this or a former owner has granted is
+     * expired, in milliseconds.
+     */
     long leaseOverAtMillis;
 
-    /** The number of the last end taken in. */
+    /** The sequence number of the last end that has been applied. */
     long takenSequence;
 
-    /** The number of the last end that the worker may forget. */
+    /** The sequence number of the last end that the worker may forget. */
     long acknowledgedSequence;
 
-    /** What the runs reserve. */
+    /** The resources that the runs reserve. */
     Resources reserved = Resources.NONE;
 
-    /** The number of orders on their way. */
+    /** The number of start requests in flight. */
     int ordersInFlight;
 
-    /** The number of the look sent last. */
+    /** The number of the last poll sent. */
     long lookNumber;
 
-    /** How many looks in a row got no answer; none of those that follow lengthens the lease. */
+    /**
+     * The number of consecutive polls without an answer. Polls do not extend the lease while it is
+     * not zero.
+     */
     int missedLooks;
 
-    /** Whether a look is on its way. */
+    /** Whether a poll is in flight. */
     boolean looking;
 
-    /** When the worker answered last, in milliseconds, or -1 if never. */
+    /** When the worker last answered a poll, in milliseconds, or -1 if it never has. */
     long answeredAtMillis = -1;
 
-    /** Until when the worker counts as full after it refused a task, in milliseconds. */
+    /** Until when the worker counts as full after it rejected a start, in milliseconds. */
     long fullUntilMillis;
 
-    /** Until when the worker is left alone after it was unhealthy or mute, in milliseconds. */
+    /**
+     * Until when the worker gets no starts after it was unhealthy or did not answer, in
+     * milliseconds.
+     */
     long avoidUntilMillis;
 
     /** Until when the worker counts as slow, in milliseconds. */
     long slowUntilMillis;
 
-    /** When the worker was first seen draining, in milliseconds, or -1. */
+    /** When the worker was first seen draining, in milliseconds, or -1 if it is not. */
     long drainingSinceMillis = -1;
 
-    /** Whether the stored list of workers in use has this worker. */
+    /** Whether the stored roster of the cell includes the worker. */
     boolean enrolled;
 
     /**
-     * Creates a record.
+     * Creates a record of a worker that has not been polled.
      *
-     * @param entry what the worker registered
-     * @param leaseOverAtMillis by when every lease of former owners has expired, in milliseconds
+     * @param entry the registration of the worker
+     * @param leaseOverAtMillis the time by which every lease of former owners is expired, in
+     *     milliseconds
      */
     WorkerRecord(WorkerEntry entry, long leaseOverAtMillis) {
         this.id = entry.id();
@@ -123,25 +150,25 @@
     }
 
     /**
-     * Returns how calls name the worker.
+     * Returns the address of the worker for calls.
      *
-     * @return the name and address
+     * @return the identifier and the network address
      */
     WorkerAddress address() {
         return new WorkerAddress(id, entry.address());
     }
 
     /**
-     * Returns the room that is free.
+     * Returns the resources that no run reserves.
      *
-     * @return the room, negative where the worker runs more than it has
+     * @return the free resources, negative where the runs reserve more than the worker has
      */
     Resources free() {
         return entry.capacity().minus(reserved);
     }
 
     /**
-     * Adds a run and reserves its room.
+     * Adds a run and reserves its resources.
      *
      * @param record the run
      */
@@ -155,7 +182,7 @@
     }
 
     /**
-     * Removes a run and frees its room.
+     * Removes a run and releases its resources.
      *
      * @param record the run
      */
@@ -169,12 +196,15 @@
     }
 
     /**
-     * Moves the acknowledged number over the ends whose effects are stored. An end of a former
-     * owner's run is kept until that owner can start the task no more: it may act on what it knew,
-     * at a worker that no fence has reached, and a start after an acknowledged end is a second run.
+     * Advances the acknowledged sequence number past the ends whose changes are stored.
+     *
+     * <p>The end of a run that a former owner started is kept until that owner can no longer start
+     * the task. The former owner may act on outdated knowledge at a worker that has not seen a
+     * newer fencing token. If the worker had already forgotten the end, it would accept that start
+     * as a second run.
      *
-     * @param settled whether former owners can start nothing any more
-     * @param runBase the number below the first run of this term
+     * @param settled whether former owners can no longer start anything
+     * @param runBase the highest number of a run that a former owner can have used
      */
     void advanceAcknowledgement(boolean settled, int runBase) {
         while (!pendingEnds.isEmpty()) {
@@ -188,10 +218,11 @@
     }
 
     /**
-     * Tells whether new work may go to the worker.
+     * Returns whether the worker may get starts.
      *
-     * @param nowMillis the time, in milliseconds
-     * @return whether it may
+     * @param nowMillis the current time, in milliseconds
+     * @return whether it is registered, fenced, recently heard from, in the stored roster, not
+     *     draining and not avoided
      */
     boolean usable(long nowMillis) {
         boolean known = listed || nowMillis - unlistedSinceMillis < UNLISTED_GRACE_MILLIS;
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/PairEffectsTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/PairEffectsTest.java
@@ -8,15 +8,19 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Tests what is learnt of pairs of images from rough figures of swinging loads. */
+/**
+ * Tests that the model learns the effects of pairs of images from noisy latencies of a changing
+ * load.
+ */
 final class PairEffectsTest {
 
-    /** The true factor of the pair that harms. */
+    /** The true coefficient of the harmful pair. */
     private static final double HARMFUL = 12;
 
     /**
-     * Replays figures of two fillers beside one serving image, of which one lengthens its tail and
-     * one does not; figures are off by half and the load swings.
+     * Observes two filler images next to one serving image. One of them increases its tail latency
+     * and the other does not. Observations are off by up to a factor of 1.65, and the load
+     * oscillates by 40%.
      */
     @Test
     void tellsTheHarmfulFillerFromTheHarmlessOneThatStandsBesideIt() {
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerConductTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerConductTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests when a worker is suspect. */
+/** Tests when a worker becomes suspect and when the suspicion ends. */
 final class WorkerConductTest {
 
     @Test
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
@@ -10,7 +10,7 @@
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.junit.jupiter.api.Test;
 
-/** Tests what an owner concludes of a worker from its answers. */
+/** Tests when an owner acknowledges ends to a worker and when it may start runs there. */
 class WorkerRecordTest {
 
     private static final int RUN_BASE = 2_000;
@@ -30,8 +30,9 @@
                     0);
 
     /**
-     * A worker that began a new life has forgotten every fence; an owner that has not heard of it
-     * for longer may have a successor, and must start nothing there.
+     * A restarted worker has forgotten every fencing token. An owner that has not heard from the
+     * worker for more than a second may have a successor that is already active there, so it must
+     * start nothing.
      */
     @Test
     void workerThatHasNotAnsweredForASecondGetsNoNewWork() {
@@ -43,7 +44,10 @@
         assertThat(worker.usable(6_001), is(false));
     }
 
-    /** A former owner may start a task again until it is settled, so its end is not forgotten. */
+    /**
+     * A former owner may start a task again until it is settled. The worker must not forget an
+     * earlier end of that task before then, since it would accept the start as a second run.
+     */
     @Test
     void endOfAFormerOwnersRunIsAcknowledgedOnceThatOwnerIsSettled() {
         worker.pendingEnds.add(new PendingEnd(7, 1_001, null, 0));
