--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -43,22 +43,22 @@
     private final CommitLoop commits;
 
     /** Applies ends. */
-    private final JobBook book;
+    private final JobTracker jobTracker;
 
     /** Looks at workers. */
     private final WorkerLooks looks;
 
     /** Paces fillers. */
-    private final FillerControl fillers;
+    private final FillerThrottle fillerThrottle;
 
     /** Moves runs that get on too slowly. */
-    private final StragglerControl stragglers;
+    private final StragglerMitigator stragglerMitigator;
 
     /** Moves work off workers that leave. */
     private final DrainControl drains;
 
     /** Starts what waits. */
-    private final StartPass pass;
+    private final TaskScheduler taskScheduler;
 
     /** Follows submissions. */
     private final Inbox inbox;
@@ -91,18 +91,19 @@
             Predicate<WorkerEntry> member,
             Consumer<String> ended) {
         core = new CellCore(environment, cell, term, reason -> ended(reason, ended));
-        RunTimes runTimes = new RunTimes();
+        RunTimeEstimator runTimes = new RunTimeEstimator();
         proof = new OwnershipProof(core, this::planPass);
-        RunOrders orders = new RunOrders(core, this::planPass, this::fenced);
+        RunRequestSender requestSender = new RunRequestSender(core, this::planPass, this::fenced);
         commits = new CommitLoop(core, new Commits());
-        book = new JobBook(core, commits, orders, runTimes);
-        looks = new WorkerLooks(core, book, orders, new Looks());
-        fillers = new FillerControl(core, orders, new PairEffects());
+        jobTracker = new JobTracker(core, commits, requestSender, runTimes);
+        looks = new WorkerLooks(core, jobTracker, requestSender, new Looks());
+        fillerThrottle = new FillerThrottle(core, requestSender, new InterferenceModel());
         AdviceDesk advice = new AdviceDesk(core, environment.advice(), this::planPass);
-        Placement placement = new Placement(core, fillers, advice);
-        stragglers = new StragglerControl(core, placement, orders, runTimes);
-        drains = new DrainControl(core, orders, runTimes);
-        pass = new StartPass(core, placement, orders, runTimes, advice, proof);
+        WorkerSelector workerSelector = new WorkerSelector(core, fillerThrottle, advice);
+        stragglerMitigator = new StragglerMitigator(core, workerSelector, requestSender, runTimes);
+        drains = new DrainControl(core, requestSender, runTimes);
+        taskScheduler =
+                new TaskScheduler(core, workerSelector, requestSender, runTimes, advice, proof);
         inbox = new Inbox(core, new Submissions());
         workerList = new WorkerList(core, environment.formats(), member, new Workers());
     }
@@ -276,14 +277,14 @@
                     1,
                     () -> {
                         passPlanned = false;
-                        pass.run();
+                        taskScheduler.run();
                     });
         }
     }
 
     /** Publishes how many submissions wait, if that has changed. */
     private void publish() {
-        Map<String, Integer> counts = book.pending();
+        Map<String, Integer> counts = jobTracker.pending();
         if (!counts.equals(published)) {
             published = counts;
             Commit commit = new Commit();
@@ -305,12 +306,12 @@
 
         @Override
         public void onTaken(Job job) {
-            book.cancel(job);
+            jobTracker.cancel(job);
         }
 
         @Override
         public void onStored(Job job) {
-            book.close(job);
+            jobTracker.close(job);
         }
 
         @Override
@@ -329,8 +330,8 @@
                 settle();
                 proof.renew();
             }
-            fillers.judge(worker);
-            stragglers.judge(worker);
+            fillerThrottle.judge(worker);
+            stragglerMitigator.judge(worker);
             planPass();
         }
 
@@ -372,7 +373,7 @@
 
         @Override
         public void onRemoved(Job job) {
-            book.cancel(job);
+            jobTracker.cancel(job);
             planPass();
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
@@ -17,21 +17,21 @@
     private final CellCore core;
 
     /** Sends the orders. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** The expected run times. */
-    private final RunTimes runTimes;
+    private final RunTimeEstimator runTimes;
 
     /**
      * Creates the control.
      *
      * @param core the shared part
-     * @param orders sends the orders
+     * @param requestSender sends the orders
      * @param runTimes the expected run times
      */
-    DrainControl(CellCore core, RunOrders orders, RunTimes runTimes) {
+    DrainControl(CellCore core, RunRequestSender requestSender, RunTimeEstimator runTimes) {
         this.core = core;
-        this.orders = orders;
+        this.requestSender = requestSender;
         this.runTimes = runTimes;
     }
 
@@ -55,7 +55,7 @@
             if (task != null
                     && run.phase == RunPhase.RUNNING
                     && mustMove(run, task.step.spec, left, now)) {
-                orders.stop(run);
+                requestSender.stop(run);
             }
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerShares.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
@@ -5,10 +5,10 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /** Computes the share of a worker's CPU that its fillers use, by image. */
-final class FillerShares {
+final class FillerCpuShares {
 
     /** Prevents instantiation. */
-    private FillerShares() {}
+    private FillerCpuShares() {}
 
     /**
      * Computes the CPU shares that the fillers of a worker use at the limits that the worker has
@@ -44,7 +44,8 @@
                 add(shares, run.task.step.spec, worker, 1);
             }
         }
-        worker.harm.lastShares.forEach((image, share) -> shares.merge(image, -share, Double::sum));
+        worker.throttleState.lastShares.forEach(
+                (image, share) -> shares.merge(image, -share, Double::sum));
         shares.values().removeIf(share -> share <= 0);
         add(shares, another, worker, 1);
         return shares;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -15,7 +15,7 @@
  * worker have recovered. If the time over target approaches {@link CellSettings#impactMillis()},
  * all fillers of the worker are paused.
  */
-final class FillerControl {
+final class FillerThrottle {
 
     /** The fraction of the allowed time over target after which all fillers are paused. */
     private static final double PAUSE_AT = 0.4;
@@ -101,22 +101,23 @@
     private final CellCore core;
 
     /** Sends the CPU limits to the workers. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Predicts the effect of fillers on tail latencies, by pair of images. */
-    private final PairEffects effects;
+    private final InterferenceModel interference;
 
     /**
      * Creates a throttle for the fillers of all workers of a cell.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
-     * @param orders sends the CPU limits to the workers
-     * @param effects learns and predicts the effect of fillers on tail latencies, by pair of images
+     * @param requestSender sends the CPU limits to the workers
+     * @param interference learns and predicts the effect of fillers on tail latencies, by pair of
+     *     images
      */
-    FillerControl(CellCore core, RunOrders orders, PairEffects effects) {
+    FillerThrottle(CellCore core, RunRequestSender requestSender, InterferenceModel interference) {
         this.core = core;
-        this.orders = orders;
-        this.effects = effects;
+        this.requestSender = requestSender;
+        this.interference = interference;
     }
 
     /**
@@ -127,8 +128,8 @@
      */
     void judge(WorkerRecord worker) {
         long now = core.now();
-        HarmWatch harm = worker.harm;
-        long gap = now - harm.judgedAtMillis;
+        FillerThrottleState state = worker.throttleState;
+        long gap = now - state.judgedAtMillis;
         if (gap < SHORTEST_GAP_MILLIS) {
             apply(worker);
             return;
@@ -147,12 +148,12 @@
                             ? tail
                             : run.tail + TAIL_WEIGHT * (tail - run.tail);
             if (comparable && run.task != null) {
-                effects.observe(run.task.step.spec.image(), tail, harm.lastShares);
+                interference.observe(run.task.step.spec.image(), tail, state.lastShares);
             }
             longestOver = Math.max(longestOver, overFor(run, tail, now));
         }
-        harm.judgedAtMillis = now;
-        harm.lastShares = FillerShares.present(worker);
+        state.judgedAtMillis = now;
+        state.lastShares = FillerCpuShares.present(worker);
         decide(worker, longestOver, worst, now);
         apply(worker);
     }
@@ -186,16 +187,16 @@
      * @param now the current time, in milliseconds
      */
     private void decide(WorkerRecord worker, long longestOver, double worst, long now) {
-        HarmWatch harm = worker.harm;
-        long inState = now - harm.sinceMillis;
-        if (harm.paused) {
+        FillerThrottleState state = worker.throttleState;
+        long inState = now - state.sinceMillis;
+        if (state.paused) {
             boolean recovered = worst < RECOVERED && inState >= SHORTEST_PAUSE_MILLIS;
             if (recovered || inState >= LONGEST_PAUSE_MILLIS) {
-                harm.set(false, now);
+                state.set(false, now);
                 worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
             }
         } else if (longestOver >= core.settings.impactMillis() * PAUSE_AT) {
-            harm.set(true, now);
+            state.set(true, now);
             core.log.log("filler.pause", "worker", worker.id, "overMillis", longestOver);
         }
         if (worst >= HARMED) {
@@ -243,11 +244,11 @@
         }
         StepSpec spec = filler.task.step.spec;
         double part = (double) Math.max(0, filler.percent) / RunRecord.FULL_PERCENT;
-        double share = part * FillerShares.of(spec, worker);
+        double share = part * FillerCpuShares.of(spec, worker);
         double sum = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.serving() && run.task != null && run.load >= HARMED * run.targetMillis()) {
-                sum += share * effects.factor(run.task.step.spec.image(), spec.image());
+                sum += share * interference.factor(run.task.step.spec.image(), spec.image());
             }
         }
         return sum;
@@ -275,12 +276,12 @@
             if (!run.filling() || run.phase != RunPhase.RUNNING) {
                 continue;
             }
-            run.wantedPercent = worker.harm.paused ? PAUSED_PERCENT : run.allowedPercent;
+            run.wantedPercent = worker.throttleState.paused ? PAUSED_PERCENT : run.allowedPercent;
             long now = core.now();
             boolean doubtful =
                     now < run.paceDoubtUntilMillis && now - run.pacedAtMillis >= REPEAT_MILLIS;
             if (run.percent != run.wantedPercent || doubtful) {
-                orders.pace(run);
+                requestSender.pace(run);
             }
         }
     }
@@ -307,16 +308,16 @@
      *     target
      */
     double harm(WorkerRecord worker, StepSpec spec) {
-        Map<String, Double> added = FillerShares.added(worker, spec);
-        double share = FillerShares.of(spec, worker);
+        Map<String, Double> added = FillerCpuShares.added(worker, spec);
+        double share = FillerCpuShares.of(spec, worker);
         double harm = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.serving() && run.task != null) {
                 String image = run.task.step.spec.image();
-                double tail = run.tail == RunRecord.UNKNOWN ? effects.base(image) : run.tail;
-                double own = effects.factor(image, spec.image()) * share;
+                double tail = run.tail == RunRecord.UNKNOWN ? interference.base(image) : run.tail;
+                double own = interference.factor(image, spec.image()) * share;
                 double part = 1 - Math.exp(-own / WHOLE_PART);
-                harm += part * over(tail * Math.exp(effects.growth(image, added)));
+                harm += part * over(tail * Math.exp(interference.growth(image, added)));
             }
         }
         return harm;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/HarmWatch.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottleState.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** The throttling state of the fillers of one worker. */
-final class HarmWatch {
+final class FillerThrottleState {
 
     /** Whether all fillers of the worker are paused. */
     boolean paused;
@@ -18,7 +18,7 @@
     long judgedAtMillis;
 
     /** Creates the state of a worker whose fillers are not paused. */
-    HarmWatch() {}
+    FillerThrottleState() {}
 
     /**
      * Records that the fillers are paused or resumed.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PairEffects.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/InterferenceModel.java
@@ -14,7 +14,7 @@
  * coefficient of the pair. Each observation corrects the coefficients in proportion to these shares
  * (normalized least mean squares). All workers of a cell share one model.
  */
-final class PairEffects {
+final class InterferenceModel {
 
     /**
      * The variance of the logarithm of an observed tail latency. Reports are noisy, and load
@@ -73,7 +73,7 @@
     private final Map<String, Double> bases = new HashMap<>();
 
     /** Creates a model without observations. */
-    PairEffects() {}
+    InterferenceModel() {}
 
     /**
      * Learns from a reported tail latency.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -15,7 +15,7 @@
  * Updates jobs with the outcomes of their runs, and finishes jobs that have succeeded, failed or
  * been cancelled.
  */
-final class JobBook {
+final class JobTracker {
 
     /** The number of attempts of a task whose route is no longer in the manifest. */
     private static final int DEFAULT_ATTEMPTS = 2;
@@ -32,23 +32,27 @@
     private final CommitLoop commits;
 
     /** Stops runs. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Learns how long tasks take. */
-    private final RunTimes runTimes;
+    private final RunTimeEstimator runTimes;
 
     /**
      * Creates a tracker for the jobs of a cell.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
      * @param commits stores the changes of jobs
-     * @param orders stops runs
+     * @param requestSender stops runs
      * @param runTimes learns how long tasks take
      */
-    JobBook(CellCore core, CommitLoop commits, RunOrders orders, RunTimes runTimes) {
+    JobTracker(
+            CellCore core,
+            CommitLoop commits,
+            RunRequestSender requestSender,
+            RunTimeEstimator runTimes) {
         this.core = core;
         this.commits = commits;
-        this.orders = orders;
+        this.requestSender = requestSender;
         this.runTimes = runTimes;
     }
 
@@ -269,7 +273,7 @@
      */
     private void stopRuns(TaskRecord task) {
         for (RunRecord record : new ArrayList<>(task.runs)) {
-            orders.stop(record);
+            requestSender.stop(record);
         }
     }
 
@@ -301,7 +305,7 @@
     private void noteConduct(
             Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
         if (end.kind() == EndKind.DONE) {
-            worker.conduct.done();
+            worker.failureDetector.done();
             if (record != null && record.task != null && record.undisturbed()) {
                 runTimes.observe(record.task.step.spec, core.now() - record.sinceMillis);
             }
@@ -323,9 +327,11 @@
         job.failedAt.add(worker.id);
         long now = core.now();
         long suspects =
-                core.allWorkers().stream().filter(other -> other.conduct.suspect(now)).count();
+                core.allWorkers().stream()
+                        .filter(other -> other.failureDetector.suspect(now))
+                        .count();
         boolean many = (suspects + 1) * LEAST_SOUND_FACTOR > core.allWorkers().size();
-        if (!elsewhere && !many && worker.conduct.failed(job.id(), now)) {
+        if (!elsewhere && !many && worker.failureDetector.failed(job.id(), now)) {
             core.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -10,7 +10,7 @@
  * <p>After a start request without an answer, the state of the run is uncertain. It is resolved by
  * an inventory that lists the run, or by an acknowledged request to stop that very run.
  */
-final class RunOrders {
+final class RunRequestSender {
 
     /**
      * The maximum time after which a request without an answer may still be carried out, in
@@ -55,7 +55,7 @@
      * @param changed called when the waiting tasks or the free resources may have changed
      * @param doubted called when a worker has seen a higher fencing token
      */
-    RunOrders(CellCore core, Runnable changed, Runnable doubted) {
+    RunRequestSender(CellCore core, Runnable changed, Runnable doubted) {
         this.core = core;
         this.changed = changed;
         this.doubted = doubted;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimes.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimeEstimator.java
@@ -10,7 +10,7 @@
  * <p>Load pattern: the run times that callers declare are wrong by a large factor, which tasks of
  * one image share.
  */
-final class RunTimes {
+final class RunTimeEstimator {
 
     /** The weight of a new observation. */
     private static final double WEIGHT = 0.2;
@@ -25,7 +25,7 @@
     private final Map<String, Double> factors = new HashMap<>();
 
     /** Creates an estimator without observations. */
-    RunTimes() {}
+    RunTimeEstimator() {}
 
     /**
      * Learns from a run that has completed its task.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -10,7 +10,7 @@
  * last task is done, so that a single straggler delays the whole step. Fillers that are throttled
  * to protect serving tasks are not moved.
  */
-final class StragglerControl {
+final class StragglerMitigator {
 
     /**
      * The length of a window over which the progress of a run is measured, in milliseconds: three
@@ -67,26 +67,30 @@
     private final CellCore core;
 
     /** Selects the worker that takes over a task. */
-    private final Placement placement;
+    private final WorkerSelector workerSelector;
 
     /** Stops the runs to move. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Estimates run times. */
-    private final RunTimes runTimes;
+    private final RunTimeEstimator runTimes;
 
     /**
-     * Creates a component that moves the stragglers of a cell.
+     * Creates a mitigator for the runs of a cell.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
-     * @param placement selects the worker that takes over a task
-     * @param orders stops the runs to move
+     * @param workerSelector selects the worker that takes over a task
+     * @param requestSender stops the runs to move
      * @param runTimes estimates run times
      */
-    StragglerControl(CellCore core, Placement placement, RunOrders orders, RunTimes runTimes) {
+    StragglerMitigator(
+            CellCore core,
+            WorkerSelector workerSelector,
+            RunRequestSender requestSender,
+            RunTimeEstimator runTimes) {
         this.core = core;
-        this.placement = placement;
-        this.orders = orders;
+        this.workerSelector = workerSelector;
+        this.requestSender = requestSender;
         this.runTimes = runTimes;
     }
 
@@ -195,7 +199,7 @@
      */
     private void move(RunRecord run, TaskRecord task) {
         boolean avoidedBefore = !task.failedAt.add(run.worker.id);
-        WorkerRecord other = placement.choose(task);
+        WorkerRecord other = workerSelector.choose(task);
         if (other == null || other == run.worker) {
             if (!avoidedBefore) {
                 task.failedAt.remove(run.worker.id);
@@ -218,6 +222,6 @@
                 run.rate,
                 "percent",
                 run.percent);
-        orders.stop(run);
+        requestSender.stop(run);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -15,7 +15,7 @@
  * lower one, and less remaining work precedes more, so that as many submissions as possible are on
  * time when not all can be.
  */
-final class StartPass {
+final class TaskScheduler {
 
     /** The rank of a long-running task that has run before. */
     private static final int RANK_RESTART = 0;
@@ -51,13 +51,13 @@
     private final CellCore core;
 
     /** Selects workers. */
-    private final Placement placement;
+    private final WorkerSelector workerSelector;
 
     /** Sends the start requests. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Estimates run times. */
-    private final RunTimes runTimes;
+    private final RunTimeEstimator runTimes;
 
     /** Holds the tickets for routes that need advice. */
     private final AdviceDesk advice;
@@ -72,22 +72,22 @@
      * Creates a scheduler for the jobs of a cell.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
-     * @param placement selects workers
-     * @param orders sends the start requests
+     * @param workerSelector selects workers
+     * @param requestSender sends the start requests
      * @param runTimes estimates run times
      * @param advice holds the tickets for routes that need advice
      * @param proof tells up to which store revision this owner is proven to own the cell
      */
-    StartPass(
+    TaskScheduler(
             CellCore core,
-            Placement placement,
-            RunOrders orders,
-            RunTimes runTimes,
+            WorkerSelector workerSelector,
+            RunRequestSender requestSender,
+            RunTimeEstimator runTimes,
             AdviceDesk advice,
             OwnershipProof proof) {
         this.core = core;
-        this.placement = placement;
-        this.orders = orders;
+        this.workerSelector = workerSelector;
+        this.requestSender = requestSender;
         this.runTimes = runTimes;
         this.advice = advice;
         this.proof = proof;
@@ -96,7 +96,7 @@
     /** Runs one pass over all waiting steps. */
     void run() {
         started = 0;
-        List<Waiting> steps = new ArrayList<>();
+        List<WaitingStep> steps = new ArrayList<>();
         long unixLimit = core.runtime.unixMillis() + core.settings.earlyMillis();
         for (Job job : core.jobs.values()) {
             if (!mayStart(job)) {
@@ -107,8 +107,8 @@
                 collect(occurrence, steps);
             }
         }
-        steps.sort(Waiting.ORDER);
-        for (Waiting waiting : steps) {
+        steps.sort(WaitingStep.ORDER);
+        for (WaitingStep waiting : steps) {
             if (started >= MOST_STARTS) {
                 return;
             }
@@ -141,7 +141,7 @@
      * @param occurrence the occurrence
      * @param steps the list to which the steps are added
      */
-    private void collect(OccurrenceRecord occurrence, List<Waiting> steps) {
+    private void collect(OccurrenceRecord occurrence, List<WaitingStep> steps) {
         long now = core.now();
         for (StepRecord step : occurrence.steps) {
             if (step.done() || !step.unblocked()) {
@@ -171,7 +171,7 @@
      * @param hasRun whether one of its waiting tasks has run before
      * @return the step with its sort keys
      */
-    private Waiting describe(StepRecord step, boolean hasRun) {
+    private WaitingStep describe(StepRecord step, boolean hasRun) {
         StepSpec spec = step.spec;
         Job job = step.occurrence.job;
         int rank = RANK_URGENT;
@@ -191,7 +191,7 @@
         if (latest > LATE_FACTOR * objective) {
             lateness = TOO_LATE;
         }
-        return new Waiting(step, rank, lateness, priority, openWork(step));
+        return new WaitingStep(step, rank, lateness, priority, openWork(step));
     }
 
     /**
@@ -253,12 +253,12 @@
             if (!task.waiting(now)) {
                 continue;
             }
-            WorkerRecord worker = placement.choose(task);
+            WorkerRecord worker = workerSelector.choose(task);
             if (worker == null) {
                 askFor(step);
                 return;
             }
-            orders.start(task, worker, nextRun(task.lastRun), advice.ticket(step, worker));
+            requestSender.start(task, worker, nextRun(task.lastRun), advice.ticket(step, worker));
             started++;
         }
     }
@@ -277,7 +277,7 @@
             }
             lastRun = Math.max(lastRun, task.lastRun);
         }
-        List<WorkerRecord> workers = placement.chooseGang(step);
+        List<WorkerRecord> workers = workerSelector.chooseGang(step);
         if (workers.isEmpty()) {
             askFor(step);
             return;
@@ -285,7 +285,7 @@
         int run = nextRun(lastRun);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
-            orders.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
+            requestSender.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
             started++;
         }
     }
@@ -320,13 +320,13 @@
      * @param priority the priority of its route, 0 for the most urgent
      * @param work the remaining work from this step on, in millicores times milliseconds
      */
-    private record Waiting(StepRecord step, int rank, int lateness, int priority, double work) {
+    private record WaitingStep(StepRecord step, int rank, int lateness, int priority, double work) {
 
         /** The order in which steps are started. */
-        static final Comparator<Waiting> ORDER =
-                Comparator.comparingInt(Waiting::rank)
-                        .thenComparingInt(Waiting::lateness)
-                        .thenComparingInt(Waiting::priority)
-                        .thenComparingDouble(Waiting::work);
+        static final Comparator<WaitingStep> ORDER =
+                Comparator.comparingInt(WaitingStep::rank)
+                        .thenComparingInt(WaitingStep::lateness)
+                        .thenComparingInt(WaitingStep::priority)
+                        .thenComparingDouble(WaitingStep::work);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerConduct.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
@@ -7,7 +7,7 @@
  * worker becomes suspect when runs of two different submissions fail on it with no successful run
  * in between.
  */
-public final class WorkerConduct {
+public final class WorkerFailureDetector {
 
     /**
      * The number of submissions that must fail in a row. A single one may be the cause of its
@@ -40,7 +40,7 @@
     private long suspectUntilMillis;
 
     /** Creates a detector without observations. */
-    WorkerConduct() {}
+    WorkerFailureDetector() {}
 
     /** Records a successful run, which clears the suspicion. */
     void done() {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -34,10 +34,10 @@
     private final CellCore core;
 
     /** Applies ends. */
-    private final JobBook book;
+    private final JobTracker jobTracker;
 
     /** Sends orders. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Told after each look. */
     private final Listener listener;
@@ -46,14 +46,18 @@
      * Creates the looks.
      *
      * @param core the shared part
-     * @param book applies ends
-     * @param orders sends orders
+     * @param jobTracker applies ends
+     * @param requestSender sends orders
      * @param listener told after each look
      */
-    WorkerLooks(CellCore core, JobBook book, RunOrders orders, Listener listener) {
+    WorkerLooks(
+            CellCore core,
+            JobTracker jobTracker,
+            RunRequestSender requestSender,
+            Listener listener) {
         this.core = core;
-        this.book = book;
-        this.orders = orders;
+        this.jobTracker = jobTracker;
+        this.requestSender = requestSender;
         this.listener = listener;
     }
 
@@ -161,7 +165,7 @@
                 record.stopAcknowledged = false;
                 record.settledAfterLook = worker.lookNumber + 1;
             } else {
-                book.lost(record, "the worker restarted");
+                jobTracker.lost(record, "the worker restarted");
             }
         }
     }
@@ -177,7 +181,7 @@
         for (EndView end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
-                worker.pendingEnds.add(book.apply(worker, end));
+                worker.pendingEnds.add(jobTracker.apply(worker, end));
             }
         }
         worker.advanceAcknowledgement(core.settled, core.term.runBase());
@@ -209,7 +213,7 @@
             record.phase = RunPhase.RUNNING;
         }
         if (record.task != null && record.phase == RunPhase.RUNNING) {
-            book.started(record.task);
+            jobTracker.started(record.task);
         }
         record.checkpoint = view.checkpoint();
         record.load = view.load();
@@ -224,7 +228,7 @@
      * @return the record of the run
      */
     private RunRecord adopt(WorkerRecord worker, RunView view) {
-        TaskRecord task = book.find(view.task());
+        TaskRecord task = jobTracker.find(view.task());
         boolean wanted = task != null && !task.done && elsewhere(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
         RunRecord record =
@@ -253,7 +257,7 @@
                 "wanted",
                 wanted);
         if (!wanted) {
-            orders.stop(record);
+            requestSender.stop(record);
         }
         return record;
     }
@@ -277,15 +281,15 @@
      */
     private void judgeAbsent(RunRecord record) {
         switch (record.phase) {
-            case UNCERTAIN -> orders.stop(record);
+            case UNCERTAIN -> requestSender.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    book.lost(record, "stopped before it arrived");
+                    jobTracker.lost(record, "stopped before it arrived");
                 } else {
-                    orders.sendStop(record);
+                    requestSender.sendStop(record);
                 }
             }
-            case RUNNING -> book.lost(record, "the worker no longer lists it");
+            case RUNNING -> jobTracker.lost(record, "the worker no longer lists it");
             default -> {
                 return;
             }
@@ -304,8 +308,9 @@
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
-            if (!mayArrive || core.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
-                book.lost(record, "the lease of the worker expired");
+            if (!mayArrive
+                    || core.now() - record.sinceMillis > RunRequestSender.LATEST_ARRIVAL_MILLIS) {
+                jobTracker.lost(record, "the lease of the worker expired");
             }
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -41,10 +41,10 @@
     final Deque<PendingEnd> pendingEnds = new ArrayDeque<>();
 
     /** Detects whether runs fail because of the worker. */
-    final WorkerConduct conduct = new WorkerConduct();
+    final WorkerFailureDetector failureDetector = new WorkerFailureDetector();
 
     /** The throttling state of the fillers of the worker. */
-    final HarmWatch harm = new HarmWatch();
+    final FillerThrottleState throttleState = new FillerThrottleState();
 
     /** The last known registration of the worker. */
     WorkerEntry entry;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -18,7 +18,7 @@
  * that must spread over workers, input data on one rack, and fillers that use the CPU that serving
  * tasks leave idle.
  */
-final class Placement {
+final class WorkerSelector {
 
     /** The maximum number of start requests in flight to one worker; connections are billed. */
     private static final int MOST_ORDERS = 6;
@@ -80,7 +80,7 @@
     private final CellCore core;
 
     /** Predicts the impact of fillers on serving tasks. */
-    private final FillerControl fillers;
+    private final FillerThrottle fillerThrottle;
 
     /** Holds the tickets for routes that need advice. */
     private final AdviceDesk advice;
@@ -89,13 +89,13 @@
      * Creates a selector of workers.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
-     * @param fillers predicts the impact of fillers on serving tasks
+     * @param fillerThrottle predicts the impact of fillers on serving tasks
      * @param advice holds the tickets for routes that need advice
      */
-    Placement(CellCore core, FillerControl fillers, AdviceDesk advice) {
+    WorkerSelector(CellCore core, FillerThrottle fillerThrottle, AdviceDesk advice) {
         this.core = core;
         this.advice = advice;
-        this.fillers = fillers;
+        this.fillerThrottle = fillerThrottle;
     }
 
     /**
@@ -211,11 +211,11 @@
         boolean busy =
                 now < worker.fullUntilMillis
                         || worker.ordersInFlight >= MOST_ORDERS
-                        || worker.conduct.suspect(now);
+                        || worker.failureDetector.suspect(now);
         if (!worker.usable(now) || busy || !labelled(spec, worker)) {
             return false;
         }
-        if (worker.conduct.onProbation() && !worker.runs.isEmpty()) {
+        if (worker.failureDetector.onProbation() && !worker.runs.isEmpty()) {
             return false;
         }
         boolean advised = !adviceNeeded || !advice.ticket(task.step, worker).isEmpty();
@@ -269,7 +269,7 @@
         StepSpec spec = task.step.spec;
         long capacity = worker.entry.capacity().cpuMillicores();
         if (spec.filling()) {
-            return !worker.harm.paused
+            return !worker.throttleState.paused
                     && fillerLoad(worker) + spec.need().cpuMillicores() <= unused(worker);
         }
         if (spec.lasting() && !task.everRan) {
@@ -365,7 +365,7 @@
         }
         if (spec.filling()) {
             double load = (double) fillerLoad(worker) / Math.max(1, unused(worker));
-            double harm = fillers.harm(worker, spec);
+            double harm = fillerThrottle.harm(worker, spec);
             return harm > bearable(task) ? WORST_SCORE : score + harm + LOAD_WEIGHT * load;
         }
         if (spec.lasting()) {
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/PairEffectsTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/InterferenceModelTest.java
@@ -12,7 +12,7 @@
  * Tests that the model learns the effects of pairs of images from noisy latencies of a changing
  * load.
  */
-final class PairEffectsTest {
+final class InterferenceModelTest {
 
     /** The true coefficient of the harmful pair. */
     private static final double HARMFUL = 12;
@@ -24,28 +24,28 @@
      */
     @Test
     void tellsTheHarmfulFillerFromTheHarmlessOneThatStandsBesideIt() {
-        PairEffects effects = new PairEffects();
+        InterferenceModel model = new InterferenceModel();
         SplittableRandom random = new SplittableRandom(7);
         for (int figure = 0; figure < 300; figure++) {
             double swing = 1 + 0.4 * Math.sin(figure / 4.5);
             double noise = Math.exp(random.nextDouble(-0.5, 0.5));
             if (figure % 4 == 0) {
-                effects.observe("serving", 0.4 * swing * noise, Map.of());
+                model.observe("serving", 0.4 * swing * noise, Map.of());
                 continue;
             }
             double harmful = random.nextDouble(0, 0.2);
             double harmless = random.nextDouble(0, 0.3);
             double tail = 0.4 * swing * noise * Math.exp(HARMFUL * harmful);
-            effects.observe("serving", tail, Map.of("harmful", harmful, "harmless", harmless));
+            model.observe("serving", tail, Map.of("harmful", harmful, "harmless", harmless));
         }
-        assertThat(effects.factor("serving", "harmful"), greaterThan(8.0));
-        assertThat(effects.factor("serving", "harmless"), lessThan(2.5));
+        assertThat(model.factor("serving", "harmful"), greaterThan(8.0));
+        assertThat(model.factor("serving", "harmless"), lessThan(2.5));
     }
 
     @Test
     void aPairThatWasNeverSeenIsTried() {
-        PairEffects effects = new PairEffects();
-        assertThat(effects.factor("serving", "new"), greaterThan(0.0));
-        assertThat(effects.growth("serving", Map.of("new", 0.1)), lessThan(1.0));
+        InterferenceModel model = new InterferenceModel();
+        assertThat(model.factor("serving", "new"), greaterThan(0.0));
+        assertThat(model.growth("serving", Map.of("new", 0.1)), lessThan(1.0));
     }
 }
