--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -44,22 +44,22 @@
     private final CommitQueue commits;
 
     /** Applies run ends to jobs. */
-    private final JobBook book;
+    private final JobTracker jobTracker;
 
     /** Polls the workers. */
     private final WorkerPoller poller;
 
     /** Throttles fillers. */
-    private final FillerControl fillers;
+    private final FillerThrottle fillerThrottle;
 
     /** Moves runs that progress too slowly. */
-    private final StragglerControl stragglers;
+    private final StragglerMitigator stragglerMitigator;
 
     /** Moves work off draining workers. */
     private final DrainController drainController;
 
     /** Starts waiting tasks. */
-    private final StartPass pass;
+    private final TaskScheduler taskScheduler;
 
     /** Watches the open submissions. */
     private final SubmissionWatcher submissionWatcher;
@@ -92,19 +92,23 @@
             Predicate<WorkerEntry> member,
             Consumer<String> ended) {
         context = new CellContext(environment, cell, term, reason -> ended(reason, ended));
-        RunTimes runTimes = new RunTimes();
+        RunTimeEstimator runTimes = new RunTimeEstimator();
         ownership = new OwnershipVerifier(context, this::planPass);
-        RunOrders orders = new RunOrders(context, this::planPass, this::fenced);
+        RunRequestSender requestSender =
+                new RunRequestSender(context, this::planPass, this::fenced);
         commits = new CommitQueue(context, new Commits());
-        book = new JobBook(context, commits, orders, runTimes);
-        poller = new WorkerPoller(context, book, orders, new Looks());
-        fillers = new FillerControl(context, orders, new PairEffects());
+        jobTracker = new JobTracker(context, commits, requestSender, runTimes);
+        poller = new WorkerPoller(context, jobTracker, requestSender, new Looks());
+        fillerThrottle = new FillerThrottle(context, requestSender, new InterferenceModel());
         AdviceTicketProvider advice =
                 new AdviceTicketProvider(context, environment.advice(), this::planPass);
-        Placement placement = new Placement(context, fillers, advice);
-        stragglers = new StragglerControl(context, placement, orders, runTimes);
-        drainController = new DrainController(context, orders, runTimes);
-        pass = new StartPass(context, placement, orders, runTimes, advice, ownership);
+        WorkerSelector workerSelector = new WorkerSelector(context, fillerThrottle, advice);
+        stragglerMitigator =
+                new StragglerMitigator(context, workerSelector, requestSender, runTimes);
+        drainController = new DrainController(context, requestSender, runTimes);
+        taskScheduler =
+                new TaskScheduler(
+                        context, workerSelector, requestSender, runTimes, advice, ownership);
         submissionWatcher = new SubmissionWatcher(context, new Submissions());
         workerWatcher =
                 new WorkerEntryWatcher(context, environment.formats(), member, new Workers());
@@ -291,7 +295,7 @@
                     1,
                     () -> {
                         passPlanned = false;
-                        pass.run();
+                        taskScheduler.run();
                     });
         }
     }
@@ -300,7 +304,7 @@
      * Publishes the pending counts of the cell if they have changed, and schedules the next check.
      */
     private void publish() {
-        Map<String, Integer> counts = book.pending();
+        Map<String, Integer> counts = jobTracker.pending();
         if (!counts.equals(published)) {
             published = counts;
             StoreTransaction commit = new StoreTransaction();
@@ -324,12 +328,12 @@
 
         @Override
         public void onTaken(Job job) {
-            book.cancel(job);
+            jobTracker.cancel(job);
         }
 
         @Override
         public void onStored(Job job) {
-            book.close(job);
+            jobTracker.close(job);
         }
 
         @Override
@@ -348,8 +352,8 @@
                 settle();
                 ownership.renew();
             }
-            fillers.judge(worker);
-            stragglers.judge(worker);
+            fillerThrottle.evaluate(worker);
+            stragglerMitigator.judge(worker);
             planPass();
         }
 
@@ -391,7 +395,7 @@
 
         @Override
         public void onRemoved(Job job) {
-            book.cancel(job);
+            jobTracker.cancel(job);
             planPass();
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -19,21 +19,22 @@
     private final CellContext context;
 
     /** Sends the stop orders. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Estimates the run times of steps. */
-    private final RunTimes runTimes;
+    private final RunTimeEstimator runTimes;
 
     /**
      * Creates a controller.
      *
      * @param context the shared state of the cell's owner
-     * @param orders sends the stop orders
+     * @param requestSender sends the stop orders
      * @param runTimes estimates the run times of steps
      */
-    DrainController(CellContext context, RunOrders orders, RunTimes runTimes) {
+    DrainController(
+            CellContext context, RunRequestSender requestSender, RunTimeEstimator runTimes) {
         this.context = context;
-        this.orders = orders;
+        this.requestSender = requestSender;
         this.runTimes = runTimes;
     }
 
@@ -58,7 +59,7 @@
             if (task != null
                     && run.phase == RunPhase.RUNNING
                     && mustMove(run, task.step.spec, left, now)) {
-                orders.stop(run);
+                requestSender.stop(run);
             }
         }
     }
--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -0,0 +1,345 @@
+package org.damasktiller.scheduler.cell;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.damasktiller.scheduler.model.StepSpec;
+
+/**
+ * Throttles the filler tasks of a worker to protect the tail latency of the serving tasks that run
+ * next to them.
+ *
+ * <p>Load pattern: a serving task exceeds its latency target while fillers run on the same worker.
+ * The size of the effect depends on the pair of images, and the effect appears and disappears
+ * within seconds. When a tail latency reaches its target, the CPU limits of the fillers that
+ * contribute most to it are lowered; they are raised step by step after all serving tasks of the
+ * worker have recovered. If the time over target approaches {@link CellSettings#impactMillis()},
+ * all fillers of the worker are paused.
+ */
+final class FillerThrottle {
+
+    /** The fraction of the allowed time over target after which all fillers are paused. */
+    private static final double PAUSE_FRACTION = 0.4;
+
+    /**
+     * The maximum length of a pause, in milliseconds: two latency reports, which cover 500 ms each,
+     * and their delay.
+     */
+    private static final long MAX_PAUSE_MILLIS = 1_600;
+
+    /**
+     * The minimum length of a pause, in milliseconds: a pause must contain one whole latency
+     * report.
+     */
+    private static final long MIN_PAUSE_MILLIS = 600;
+
+    /** The CPU limit of a paused filler, in percent of its request. */
+    private static final int PAUSED_CPU_LIMIT_PERCENT = 0;
+
+    /** The factor by which the CPU limit of a throttled filler is multiplied. */
+    private static final double THROTTLE_FACTOR = 0.75;
+
+    /**
+     * The number of percentage points by which the CPU limit of a filler is raised after each poll
+     * at which all serving tasks of its worker have recovered.
+     */
+    private static final int RECOVERY_STEP_PERCENT = 30;
+
+    /** The fraction of the latency target below which a serving task counts as recovered. */
+    private static final double RECOVERED_FRACTION = 0.75;
+
+    /**
+     * The minimum contribution to the logarithm of a tail latency for which a filler is throttled.
+     */
+    private static final double MIN_CONTRIBUTION = 0.06;
+
+    /** The fraction of the largest contribution at or above which a filler is throttled. */
+    private static final double TOP_CONTRIBUTION_FRACTION = 0.4;
+
+    /**
+     * The fraction of the latency target at or above which a serving task counts as over its
+     * target. It is below 1 because reported latencies are noisy, and counting the time over target
+     * too late would delay the pause of all fillers.
+     */
+    private static final double OVER_TARGET_FRACTION = 0.9;
+
+    /** The fraction of the latency target at or above which fillers are throttled. */
+    private static final double THROTTLE_FRACTION = 1;
+
+    /**
+     * The maximum time between two evaluations, in milliseconds, for which a latency report is
+     * attributed to the fillers that ran at the earlier one.
+     */
+    private static final long MAX_EVALUATION_GAP_MILLIS = 1_200;
+
+    /**
+     * The minimum time between two evaluations, in milliseconds, for which a latency report is
+     * attributed to fillers. Polls that are answered earlier are not evaluated.
+     */
+    private static final long MIN_EVALUATION_GAP_MILLIS = 200;
+
+    /**
+     * The interval at which a CPU limit is sent again while an earlier request that got no answer
+     * may still arrive and override it, in milliseconds.
+     */
+    private static final long RESEND_INTERVAL_MILLIS = 1_500;
+
+    /**
+     * The contribution to the logarithm of a tail latency for which 63% (1 - 1/e) of the predicted
+     * excess is attributed to a filler.
+     */
+    private static final double ATTRIBUTION_SCALE = 0.15;
+
+    /** The weight of a new latency report in the smoothed tail latency that admission uses. */
+    private static final double SMOOTHING_WEIGHT = 0.5;
+
+    /**
+     * The predicted tail latency that does not count against a filler, as a fraction of the target.
+     */
+    private static final double HARMLESS_FRACTION = 0.6;
+
+    /** The state, settings and ports shared by the components of the cell's owner. */
+    private final CellContext context;
+
+    /** Sends the CPU limits to the workers. */
+    private final RunRequestSender requestSender;
+
+    /** Predicts the effect of fillers on tail latencies, by pair of images. */
+    private final InterferenceModel interference;
+
+    /**
+     * Creates a throttle for the fillers of all workers of a cell.
+     *
+     * @param context the state, settings and ports shared by the components of the cell's owner
+     * @param requestSender sends the CPU limits to the workers
+     * @param interference learns and predicts the effect of fillers on tail latencies, by pair of
+     *     images
+     */
+    FillerThrottle(
+            CellContext context, RunRequestSender requestSender, InterferenceModel interference) {
+        this.context = context;
+        this.requestSender = requestSender;
+        this.interference = interference;
+    }
+
+    /**
+     * Evaluates the latencies that a worker has reported in its answer to a poll, and sends the CPU
+     * limits of its fillers.
+     *
+     * @param worker the worker that answered
+     */
+    void evaluate(WorkerRecord worker) {
+        long now = context.now();
+        FillerThrottleState state = worker.throttleState;
+        long gapMillis = now - state.evaluatedAtMillis;
+        if (gapMillis < MIN_EVALUATION_GAP_MILLIS) {
+            sendLimits(worker);
+            return;
+        }
+        boolean comparable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
+        long maxOverTargetMillis = 0;
+        double maxLatencyRatio = 0;
+        for (RunRecord run : worker.runs.values()) {
+            if (!run.serving() || run.load < 0 || run.phase != RunPhase.RUNNING) {
+                continue;
+            }
+            double latencyRatio = (double) run.load / run.targetMillis();
+            maxLatencyRatio = Math.max(maxLatencyRatio, latencyRatio);
+            run.tail =
+                    run.tail == RunRecord.UNKNOWN
+                            ? latencyRatio
+                            : run.tail + SMOOTHING_WEIGHT * (latencyRatio - run.tail);
+            if (comparable && run.task != null) {
+                interference.observe(run.task.step.spec.image(), latencyRatio, state.lastCpuShares);
+            }
+            maxOverTargetMillis =
+                    Math.max(maxOverTargetMillis, updateOverTarget(run, latencyRatio, now));
+        }
+        state.evaluatedAtMillis = now;
+        state.lastCpuShares = FillerCpuShares.current(worker);
+        updateLimits(worker, maxOverTargetMillis, maxLatencyRatio, now);
+        sendLimits(worker);
+    }
+
+    /**
+     * Tracks for how long a serving task has continuously been over its target.
+     *
+     * @param run the run of the serving task
+     * @param latencyRatio its tail latency, as a fraction of its target
+     * @param now the current time, in milliseconds
+     * @return the time over target, in milliseconds, or 0 if the task is not over its target
+     */
+    private static long updateOverTarget(RunRecord run, double latencyRatio, long now) {
+        if (latencyRatio < OVER_TARGET_FRACTION) {
+            run.overSinceMillis = RunRecord.UNKNOWN;
+            return 0;
+        }
+        if (run.overSinceMillis == RunRecord.UNKNOWN) {
+            run.overSinceMillis = now;
+        }
+        return now - run.overSinceMillis;
+    }
+
+    /**
+     * Pauses or resumes the fillers of a worker, and adjusts their CPU limits.
+     *
+     * @param worker the worker
+     * @param maxOverTargetMillis the longest time for which a serving task has been over its
+     *     target, in milliseconds
+     * @param maxLatencyRatio the highest tail latency, as a fraction of the target of its task
+     * @param now the current time, in milliseconds
+     */
+    private void updateLimits(
+            WorkerRecord worker, long maxOverTargetMillis, double maxLatencyRatio, long now) {
+        FillerThrottleState state = worker.throttleState;
+        long millisInState = now - state.changedAtMillis;
+        if (state.paused) {
+            boolean recovered =
+                    maxLatencyRatio < RECOVERED_FRACTION && millisInState >= MIN_PAUSE_MILLIS;
+            if (recovered || millisInState >= MAX_PAUSE_MILLIS) {
+                state.setPaused(false, now);
+                worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
+            }
+        } else if (maxOverTargetMillis >= context.settings.impactMillis() * PAUSE_FRACTION) {
+            state.setPaused(true, now);
+            context.log.log("filler.pause", "worker", worker.id, "overMillis", maxOverTargetMillis);
+        }
+        if (maxLatencyRatio >= THROTTLE_FRACTION) {
+            throttleTopContributors(worker);
+        } else if (maxLatencyRatio < RECOVERED_FRACTION) {
+            raiseLimits(worker);
+        }
+    }
+
+    /**
+     * Lowers the CPU limits of the fillers that contribute most to the tail latencies that are over
+     * their targets.
+     *
+     * @param worker the worker
+     */
+    private void throttleTopContributors(WorkerRecord worker) {
+        Map<RunRecord, Double> contributions = new LinkedHashMap<>();
+        double largest = 0;
+        for (RunRecord run : worker.runs.values()) {
+            if (run.filling()) {
+                double contribution = contribution(worker, run);
+                contributions.put(run, contribution);
+                largest = Math.max(largest, contribution);
+            }
+        }
+        double threshold = Math.max(MIN_CONTRIBUTION, largest * TOP_CONTRIBUTION_FRACTION);
+        contributions.forEach(
+                (run, contribution) -> {
+                    if (contribution >= threshold) {
+                        run.allowedPercent = (int) (run.allowedPercent * THROTTLE_FACTOR);
+                    }
+                });
+    }
+
+    /**
+     * Estimates the contribution of a filler to the tail latencies that are over their targets.
+     *
+     * @param worker the worker
+     * @param filler the run of the filler
+     * @return the sum of its contributions to the logarithms of these tail latencies
+     */
+    private double contribution(WorkerRecord worker, RunRecord filler) {
+        if (filler.task == null) {
+            return 0;
+        }
+        StepSpec spec = filler.task.step.spec;
+        double limitFraction = (double) Math.max(0, filler.percent) / RunRecord.FULL_PERCENT;
+        double cpuShare = limitFraction * FillerCpuShares.atFullLimit(spec, worker);
+        double sum = 0;
+        for (RunRecord run : worker.runs.values()) {
+            if (run.serving()
+                    && run.task != null
+                    && run.load >= THROTTLE_FRACTION * run.targetMillis()) {
+                sum +=
+                        cpuShare
+                                * interference.coefficient(
+                                        run.task.step.spec.image(), spec.image());
+            }
+        }
+        return sum;
+    }
+
+    /**
+     * Raises the CPU limits of throttled fillers by one step.
+     *
+     * @param worker the worker
+     */
+    private static void raiseLimits(WorkerRecord worker) {
+        for (RunRecord run : worker.runs.values()) {
+            run.allowedPercent =
+                    Math.min(RunRecord.FULL_PERCENT, run.allowedPercent + RECOVERY_STEP_PERCENT);
+        }
+    }
+
+    /**
+     * Sends the CPU limits of fillers that differ from the limits that the worker has confirmed,
+     * and those that an earlier request without an answer may still override.
+     *
+     * @param worker the worker
+     */
+    private void sendLimits(WorkerRecord worker) {
+        for (RunRecord run : worker.runs.values()) {
+            if (!run.filling() || run.phase != RunPhase.RUNNING) {
+                continue;
+            }
+            run.wantedPercent =
+                    worker.throttleState.paused ? PAUSED_CPU_LIMIT_PERCENT : run.allowedPercent;
+            long now = context.now();
+            boolean mayBeOverridden =
+                    now < run.paceDoubtUntilMillis
+                            && now - run.pacedAtMillis >= RESEND_INTERVAL_MILLIS;
+            if (run.percent != run.wantedPercent || mayBeOverridden) {
+                requestSender.pace(run);
+            }
+        }
+    }
+
+    /**
+     * Converts a predicted tail latency into a penalty.
+     *
+     * @param latencyRatio the tail latency, as a fraction of its target
+     * @return 0 up to the harmless level, 1 at the target and above, and linear in between
+     */
+    private static double penalty(double latencyRatio) {
+        return Math.max(
+                0, Math.min(1, (latencyRatio - HARMLESS_FRACTION) / (1 - HARMLESS_FRACTION)));
+    }
+
+    /**
+     * Predicts how many serving tasks of a worker a filler would help to push over their targets.
+     * The prediction starts from the smoothed tail latencies and adds the effect of the fillers
+     * that have started since the last evaluation and of the new filler. A task counts in
+     * proportion to the contribution of the new filler to its tail latency.
+     *
+     * @param worker the worker on which the filler would start
+     * @param spec the step of the filler
+     * @return the expected number of serving tasks, with fractions for predictions close to the
+     *     target
+     */
+    double predictImpact(WorkerRecord worker, StepSpec spec) {
+        Map<String, Double> addedCpuShares = FillerCpuShares.addedBy(worker, spec);
+        double cpuShare = FillerCpuShares.atFullLimit(spec, worker);
+        double impact = 0;
+        for (RunRecord run : worker.runs.values()) {
+            if (run.serving() && run.task != null) {
+                String image = run.task.step.spec.image();
+                double latencyRatio =
+                        run.tail == RunRecord.UNKNOWN ? interference.baseline(image) : run.tail;
+                double contribution = interference.coefficient(image, spec.image()) * cpuShare;
+                double attribution = 1 - Math.exp(-contribution / ATTRIBUTION_SCALE);
+                impact +=
+                        attribution
+                                * penalty(
+                                        latencyRatio
+                                                * Math.exp(
+                                                        interference.predictLogGrowth(
+                                                                image, addedCpuShares)));
+            }
+        }
+        return impact;
+    }
+}
--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
@@ -0,0 +1,92 @@
+package org.damasktiller.scheduler.cell;
+
+/**
+ * Detects a worker on which runs fail because of the worker rather than of their submissions.
+ *
+ * <p>Load pattern: some workers fail every run, while a few submissions fail on every worker. A
+ * worker becomes suspect when runs of two different submissions fail on it with no successful run
+ * in between.
+ */
+public final class WorkerFailureDetector {
+
+    /**
+     * The number of submissions that must fail in a row. A single one may be the cause of its
+     * failures.
+     */
+    private static final int SUSPECT_SUBMISSIONS = 2;
+
+    /**
+     * How long a worker that becomes suspect gets no starts, in milliseconds. The time doubles with
+     * each further suspicion.
+     */
+    private static final long FIRST_PENALTY_MILLIS = 2_000;
+
+    /** The maximum time for which a suspect worker gets no starts, in milliseconds. */
+    private static final long LONGEST_PENALTY_MILLIS = 8_000;
+
+    /** The identifier of the submission that failed last, empty for none. */
+    private String lastFailed = "";
+
+    /**
+     * The number of times in a row that a run failed whose submission differs from that of the
+     * failure before.
+     */
+    private int failedInRow;
+
+    /** How long the worker gets no starts if it becomes suspect again, in milliseconds. */
+    private long penaltyMillis = FIRST_PENALTY_MILLIS;
+
+    /** Until when the worker gets no starts, in milliseconds. */
+    private long suspectUntilMillis;
+
+    /** Creates a detector without observations. */
+    WorkerFailureDetector() {}
+
+    /** Records a successful run, which clears the suspicion. */
+    void done() {
+        lastFailed = "";
+        failedInRow = 0;
+        penaltyMillis = FIRST_PENALTY_MILLIS;
+        suspectUntilMillis = 0;
+    }
+
+    /**
+     * Records a failed run.
+     *
+     * @param submission the identifier of the submission of the run
+     * @param nowMillis the current time, in milliseconds
+     * @return whether the worker has become suspect with this failure
+     */
+    boolean failed(String submission, long nowMillis) {
+        if (!submission.equals(lastFailed)) {
+            failedInRow++;
+            lastFailed = submission;
+        }
+        if (failedInRow < SUSPECT_SUBMISSIONS || nowMillis < suspectUntilMillis) {
+            return false;
+        }
+        suspectUntilMillis = nowMillis + penaltyMillis;
+        penaltyMillis = Math.min(LONGEST_PENALTY_MILLIS, penaltyMillis * 2);
+        return true;
+    }
+
+    /**
+     * Returns whether the worker gets no starts because it is suspect.
+     *
+     * @param nowMillis the current time, in milliseconds
+     * @return whether it is suspect
+     */
+    boolean suspect(long nowMillis) {
+        return nowMillis < suspectUntilMillis;
+    }
+
+    /**
+     * Returns whether the worker may run only one task at a time, because no run has succeeded
+     * since it became suspect.
+     *
+     * @return whether it is on probation
+     */
+    boolean onProbation() {
+        return failedInRow >= SUSPECT_SUBMISSIONS;
+    }
+}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -39,10 +39,10 @@
     private final CellContext context;
 
     /** Applies run ends to jobs. */
-    private final JobBook book;
+    private final JobTracker jobTracker;
 
     /** Sends stop orders. */
-    private final RunOrders orders;
+    private final RunRequestSender requestSender;
 
     /** Called after each poll. */
     private final Listener listener;
@@ -51,14 +51,18 @@
      * Creates a poller that polls no worker yet.
      *
      * @param context the shared state of the cell's owner
-     * @param book applies run ends to jobs
-     * @param orders sends stop orders
+     * @param jobTracker applies run ends to jobs
+     * @param requestSender sends stop orders
      * @param listener called after each poll
      */
-    WorkerPoller(CellContext context, JobBook book, RunOrders orders, Listener listener) {
+    WorkerPoller(
+            CellContext context,
+            JobTracker jobTracker,
+            RunRequestSender requestSender,
+            Listener listener) {
         this.context = context;
-        this.book = book;
-        this.orders = orders;
+        this.jobTracker = jobTracker;
+        this.requestSender = requestSender;
         this.listener = listener;
     }
 
@@ -168,7 +172,7 @@
                 record.stopAcknowledged = false;
                 record.settledAfterLook = worker.lookNumber + 1;
             } else {
-                book.lost(record, "the worker restarted");
+                jobTracker.lost(record, "the worker restarted");
             }
         }
     }
@@ -185,7 +189,7 @@
         for (EndedRun end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
-                worker.pendingEnds.add(book.apply(worker, end));
+                worker.pendingEnds.add(jobTracker.apply(worker, end));
             }
         }
         worker.advanceAcknowledgement(context.settled, context.term.runBase());
@@ -217,7 +221,7 @@
             record.phase = RunPhase.RUNNING;
         }
         if (record.task != null && record.phase == RunPhase.RUNNING) {
-            book.started(record.task);
+            jobTracker.started(record.task);
         }
         record.checkpoint = view.checkpoint();
         record.load = view.load();
@@ -233,7 +237,7 @@
      * @return the record of the run
      */
     private RunRecord adopt(WorkerRecord worker, ActiveRun view) {
-        TaskRecord task = book.find(view.task());
+        TaskRecord task = jobTracker.find(view.task());
         boolean wanted = task != null && !task.done && elsewhere(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
         RunRecord record =
@@ -262,7 +266,7 @@
                 "wanted",
                 wanted);
         if (!wanted) {
-            orders.stop(record);
+            requestSender.stop(record);
         }
         return record;
     }
@@ -287,15 +291,15 @@
      */
     private void judgeAbsent(RunRecord record) {
         switch (record.phase) {
-            case UNCERTAIN -> orders.stop(record);
+            case UNCERTAIN -> requestSender.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    book.lost(record, "the run was stopped before its start order arrived");
+                    jobTracker.lost(record, "the run was stopped before its start order arrived");
                 } else {
-                    orders.sendStop(record);
+                    requestSender.sendStop(record);
                 }
             }
-            case RUNNING -> book.lost(record, "the worker no longer lists the run");
+            case RUNNING -> jobTracker.lost(record, "the worker no longer lists the run");
             default -> {
                 return;
             }
@@ -316,8 +320,9 @@
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
             if (!mayArrive
-                    || context.now() - record.sinceMillis > RunOrders.LATEST_ARRIVAL_MILLIS) {
-                book.lost(record, "the lease of the worker expired");
+                    || context.now() - record.sinceMillis
+                            > RunRequestSender.LATEST_ARRIVAL_MILLIS) {
+                jobTracker.lost(record, "the lease of the worker expired");
             }
         }
     }
