--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
@@ -5,97 +5,99 @@
 import org.damasktiller.scheduler.model.SubmissionState;
 
 /**
- * An answer to a caller.
+ * The response to a caller's request: HTTP status, JSON body and retry advice.
  *
- * @param status the HTTP status
- * @param body the body
- * @param retryAfterSeconds when to come back, in seconds, zero if that is of no use
+ * @param status the HTTP status code
+ * @param body the JSON body, encoded in UTF-8
+ * @param retryAfterSeconds the value of the Retry-After header, in seconds; 0 omits the header, for
+ *     responses after which a retry is of no use
  */
 @SuppressWarnings("ArrayRecordComponent")
 record CallerAnswer(int status, byte[] body, int retryAfterSeconds) {
 
-    /** The status of success. */
+    /** The status of a request that succeeded. */
     private static final int OK = 200;
 
     /** The status of a malformed request. */
     private static final int BAD_REQUEST = 400;
 
-    /** The status of an unknown route. */
+    /** The status of a request that matches no route. */
     private static final int NOT_FOUND = 404;
 
-    /** The status of an unknown submission. */
+    /** The status of a request for a submission that is not stored. */
     private static final int GONE = 410;
 
-    /** The status of a body that is too large. */
+    /** The status of a request whose body is too large. */
     private static final int TOO_LARGE = 413;
 
-    /** The status of a request that was not carried out. */
+    /** The status of a request that certainly had no effect. */
     private static final int UNAVAILABLE = 503;
 
-    /** The status of an outcome that is not known. */
+    /** The status of a request that may or may not have taken effect. */
     private static final int OUTCOME_UNKNOWN = 504;
 
-    /** When a caller whose request was not carried out should come back, in seconds. */
+    /** The Retry-After value of responses with status 503 or 504, in seconds. */
     private static final int RETRY_AFTER_SECONDS = 1;
 
     /**
-     * Makes the answer to an accepted submission.
+     * Creates the response to an accepted submission.
      *
-     * @return the answer
+     * @return status 200 with the state QUEUED
      */
     static CallerAnswer accepted() {
         return new CallerAnswer(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
     }
 
     /**
-     * Makes the answer that tells a state.
+     * Creates a response with the state of a submission.
      *
      * @param state the state
-     * @return the answer
+     * @return status 200 with the state
      */
     static CallerAnswer state(SubmissionState state) {
         return new CallerAnswer(OK, CallerFormats.state(state), 0);
     }
 
     /**
-     * Makes the answer that tells how many submissions wait.
+     * Creates a response with the number of pending submissions of a route.
      *
-     * @param count the number
-     * @return the answer
+     * @param count the number of submissions none of whose tasks has started
+     * @return status 200 with the count
      */
     static CallerAnswer pending(int count) {
         return new CallerAnswer(OK, CallerFormats.pending(count), 0);
     }
 
     /**
-     * Makes the answer of a request that no route takes.
+     * Creates the response to a request that matches no route.
      *
-     * @return the answer
+     * @return status 404 with the error code UNKNOWN_KIND
      */
     static CallerAnswer noRoute() {
         return new CallerAnswer(
                 NOT_FOUND,
-                CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route takes this path"),
+                CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route matches the host and path"),
                 0);
     }
 
     /**
-     * Makes the answer about a submission that does not exist.
+     * Creates the response to a request for a submission that is not stored.
      *
-     * @return the answer
+     * @return status 410 with the error code UNKNOWN_JOB
      */
     static CallerAnswer unknownSubmission() {
         return new CallerAnswer(
                 GONE,
-                CallerFormats.error(ErrorCode.UNKNOWN_JOB, "no such submission is stored"),
+                CallerFormats.error(
+                        ErrorCode.UNKNOWN_JOB, "no submission with this identifier is stored"),
                 0);
     }
 
     /**
-     * Makes the answer to a malformed request.
+     * Creates the response to a malformed request.
      *
-     * @param message what is wrong
-     * @return the answer
+     * @param message what is wrong with the request
+     * @return status 400 with the error code BAD_REQUEST
      */
     static CallerAnswer malformed(String message) {
         return new CallerAnswer(
@@ -103,24 +105,26 @@
     }
 
     /**
-     * Makes the answer to a body that is too large.
+     * Creates the response to a request whose body is too large.
      *
-     * @param limit the largest body, in bytes
-     * @return the answer
+     * @param limit the maximum size of a body, in bytes
+     * @return status 413 with the error code BODY_TOO_LARGE
      */
     static CallerAnswer tooLarge(int limit) {
         return new CallerAnswer(
                 TOO_LARGE,
                 CallerFormats.error(
-                        ErrorCode.BODY_TOO_LARGE, "a body may have " + limit + " bytes"),
+                        ErrorCode.BODY_TOO_LARGE,
+                        "the body exceeds the limit of " + limit + " bytes"),
                 0);
     }
 
     /**
-     * Makes the answer of a request that was certainly not carried out.
+     * Creates the response to a request that certainly had no effect, so that the caller can retry
+     * it without the risk of a second execution.
      *
-     * @param message why
-     * @return the answer
+     * @param message why the request failed
+     * @return status 503 with the error code STORE_UNAVAILABLE and a Retry-After header
      */
     static CallerAnswer notCarriedOut(String message) {
         return new CallerAnswer(
@@ -130,10 +134,10 @@
     }
 
     /**
-     * Makes the answer of a request that may have been carried out.
+     * Creates the response to a request that may or may not have taken effect.
      *
-     * @param message why that is not known
-     * @return the answer
+     * @param message why the outcome is unknown
+     * @return status 504 with the error code STORE_UNAVAILABLE and a Retry-After header
      */
     static CallerAnswer outcomeUnknown(String message) {
         return new CallerAnswer(
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerRequest.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerRequest.java
@@ -3,11 +3,12 @@
 import org.damasktiller.scheduler.model.Route;
 
 /**
- * A request of a caller that a route takes.
+ * A caller's request about one submission, after its path and host have matched a route.
  *
- * @param id the submission's identifier
- * @param route the route
- * @param manifestVersion the version of the manifest that gave the route
- * @param deadlineMillis by when the caller wants an answer, on the steady clock, in milliseconds
+ * @param id the submission's identifier, 16 hexadecimal digits
+ * @param route the route that matched
+ * @param manifestVersion the version of the manifest that contains the route
+ * @param deadlineMillis when the caller stops waiting for the response, on the monotonic clock, in
+ *     milliseconds
  */
 record CallerRequest(String id, Route route, long manifestVersion, long deadlineMillis) {}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -20,47 +20,51 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.jspecify.annotations.Nullable;
 
-/** Takes the requests of callers. */
+/**
+ * Serves the HTTP requests of callers: POST submits, GET returns the state of a submission or the
+ * number of pending submissions of a route, and DELETE cancels a submission. Runs on the thread of
+ * the event loop.
+ */
 public final class CallerServlet implements AsyncServlet {
 
-    /** How long a caller waits that does not say so, in milliseconds. */
+    /** The timeout of a request without a valid deadline header, in milliseconds. */
     private static final long DEFAULT_DEADLINE_MILLIS = 3_000;
 
-    /** The form of a submission's identifier. */
+    /** Matches a valid submission identifier. */
     private static final Pattern IDENTIFIER = Pattern.compile("[0-9a-fA-F]{16}");
 
-    /** The manifest in force. */
+    /** Returns the current manifest, or null before the first one has been read. */
     private final Supplier<@Nullable Manifest> manifest;
 
-    /** Accepts submissions. */
+    /** Stores new submissions. */
     private final SubmissionAcceptor acceptor;
 
-    /** Tells states and cancels. */
+    /** Handles state queries and cancellations. */
     private final SubmissionQuestions questions;
 
-    /** Tells how much waits. */
+    /** Provides the pending count of each route. */
     private final Cluster cluster;
 
-    /** The clock. */
+    /** The clock from which deadlines are computed. */
     private final ProcessRuntime runtime;
 
     /** The log. */
     private final DecisionLog log;
 
-    /** Whether connections are closed after their next answer. */
+    /** Whether each connection is closed after its next response. */
     private boolean closing;
 
-    /** The number of requests that are being answered. */
+    /** The number of requests without a response so far. */
     private int inFlight;
 
     /**
      * Creates a servlet.
      *
-     * @param manifest the manifest in force
-     * @param acceptor accepts submissions
-     * @param questions tells states and cancels
-     * @param cluster tells how much waits
-     * @param runtime the clock
+     * @param manifest returns the current manifest, or null before the first one has been read
+     * @param acceptor stores new submissions
+     * @param questions handles state queries and cancellations
+     * @param cluster provides the pending count of each route
+     * @param runtime the clock from which deadlines are computed
      * @param log the log
      */
     public CallerServlet(
@@ -78,15 +82,15 @@
         this.log = log;
     }
 
-    /** Closes each connection after its next answer. */
+    /** Closes each connection after its next response, so that callers reconnect to another VM. */
     public void closeConnections() {
         closing = true;
     }
 
     /**
-     * Returns the number of requests that are being answered.
+     * Returns the number of requests that have no response yet.
      *
-     * @return the number
+     * @return the number of requests in flight
      */
     public int inFlight() {
         return inFlight;
@@ -99,10 +103,10 @@
     }
 
     /**
-     * Handles a request.
+     * Matches a request to a route and dispatches it by its HTTP method.
      *
      * @param request the request
-     * @return the answer
+     * @return the response
      */
     private Promise<CallerAnswer> handle(HttpRequest request) {
         Manifest inForce = manifest.get();
@@ -127,24 +131,25 @@
             return Promise.of(CallerAnswer.pending(cluster.pending(route.name())));
         }
         if (!IDENTIFIER.matcher(id).matches()) {
-            return Promise.of(CallerAnswer.malformed("an identifier has 16 hexadecimal digits"));
+            return Promise.of(
+                    CallerAnswer.malformed("the identifier must have 16 hexadecimal digits"));
         }
         CallerRequest call = new CallerRequest(id, route, inForce.version(), deadline(request));
         return switch (request.getMethod()) {
             case POST -> submit(request, call, inForce.limits().bodyBytes());
             case GET -> promise(answer -> questions.state(call, answer));
             case DELETE -> promise(answer -> questions.cancel(call, answer));
-            default -> Promise.of(CallerAnswer.malformed("the method is not known here"));
+            default -> Promise.of(CallerAnswer.malformed("the HTTP method is not supported"));
         };
     }
 
     /**
-     * Handles a submission.
+     * Loads the body of a submission and accepts it.
      *
-     * @param request the request
-     * @param call the request
-     * @param limit the largest body, in bytes
-     * @return the answer
+     * @param request the HTTP request, whose body has not been loaded
+     * @param call the same request after routing
+     * @param limit the maximum size of a body, in bytes
+     * @return the response; a body that can't be loaded is reported as too large
      */
     private Promise<CallerAnswer> submit(HttpRequest request, CallerRequest call, int limit) {
         return request.loadBody(limit)
@@ -162,11 +167,11 @@
     }
 
     /**
-     * Accepts a submission.
+     * Parses a submission and passes it to the acceptor.
      *
      * @param call the request
-     * @param body the body
-     * @return the answer
+     * @param body the JSON body
+     * @return the response
      */
     private Promise<CallerAnswer> accept(CallerRequest call, byte[] body) {
         Submission submission;
@@ -185,10 +190,10 @@
     }
 
     /**
-     * Makes a promise of an answer.
+     * Adapts an operation with a callback to a promise.
      *
-     * @param action begins the work and gets what takes the answer
-     * @return the promise
+     * @param action starts the operation; its argument is the callback for the response
+     * @return a promise that completes when the callback is called
      */
     private static Promise<CallerAnswer> promise(Consumer<Consumer<CallerAnswer>> action) {
         SettablePromise<CallerAnswer> promise = new SettablePromise<>();
@@ -197,10 +202,10 @@
     }
 
     /**
-     * Renders an answer.
+     * Converts a response to its HTTP form.
      *
-     * @param answer the answer
-     * @return the response
+     * @param answer the response
+     * @return the HTTP response
      */
     private HttpResponse render(CallerAnswer answer) {
         HttpResponse.Builder builder =
@@ -218,10 +223,11 @@
     }
 
     /**
-     * Returns by when the caller wants an answer.
+     * Returns when the caller stops waiting for a response. The deadline header holds the remaining
+     * time in milliseconds; a missing or malformed header means the default timeout.
      *
      * @param request the request
-     * @return the time on the steady clock, in milliseconds
+     * @return the deadline on the monotonic clock, in milliseconds
      */
     private long deadline(HttpRequest request) {
         String header = request.getHeader(CallerFormats.DEADLINE);
@@ -233,10 +239,10 @@
     }
 
     /**
-     * Returns the host that the caller names, without a port.
+     * Returns the value of the Host header without its port.
      *
      * @param request the request
-     * @return the host, empty if there is none
+     * @return the host, or an empty string if the request has no such header
      */
     private static String host(HttpRequest request) {
         String header = request.getHeader(HttpHeaders.HOST);
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -18,34 +18,39 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Accepts submissions with one write, on condition that none is stored under the identifier. A
- * write without an answer is sent again: it succeeds, or conflicts with the first that did. Once a
- * write has gone unanswered, the submission is never reported as not accepted.
+ * Stores new submissions. Each submission is written by one transaction, on the condition that none
+ * is stored under its identifier, so that a retry is idempotent: it either succeeds or conflicts
+ * with the write that was applied first. After a write without a response the submission is never
+ * reported as rejected, because the store may still apply that write.
  */
 public final class SubmissionAcceptor {
 
-    /** The pause before a write is sent again, in milliseconds. */
+    /** The delay before a failed write is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 80;
 
-    /** How long a store that refuses is tried, in milliseconds: about one retry of a caller. */
+    /**
+     * How long writes that the store refuses are retried, in milliseconds: about as long as a
+     * caller waits before its own retry.
+     */
     private static final long REFUSAL_MILLIS = 700;
 
     /**
-     * How long a silent store is tried, in milliseconds: one call's timeout and half another. Then
-     * the caller may ask another VM, which may reach the store.
+     * How long writes without a response from the store are retried, in milliseconds: 1.5 times the
+     * timeout of a call to the store. A caller that gets a response this early can still try
+     * another VM, which may reach the store.
      */
     private static final long SILENCE_MILLIS = 1_500;
 
-    /** How long before the caller's deadline the answer is due, in milliseconds. */
+    /** How long before the caller's deadline the response is sent, in milliseconds. */
     private static final long MARGIN_MILLIS = 150;
 
     /** The store. */
     private final MetadataStore store;
 
-    /** The layout of the cells. */
+    /** Maps services and zones to cells. */
     private final CellLayout layout;
 
-    /** The zone of this process, whose cell takes the submissions. */
+    /** The availability zone of this process; submissions go to the cell of this zone. */
     private final String zone;
 
     /** The clock and the timers. */
@@ -58,8 +63,8 @@
      * Creates an acceptor.
      *
      * @param store the store
-     * @param layout the layout of the cells
-     * @param zone the zone of this process
+     * @param layout maps services and zones to cells
+     * @param zone the availability zone of this process; submissions go to its cell
      * @param runtime the clock and the timers
      * @param log the log
      */
@@ -77,46 +82,46 @@
     }
 
     /**
-     * Accepts a submission.
+     * Stores a submission and responds shortly before the caller's deadline at the latest.
      *
      * @param request the request
-     * @param submission the submission
-     * @param answer takes the answer
+     * @param submission the submission to store
+     * @param answer the callback for the response, called exactly once
      */
     void accept(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
         new Attempt(request, submission, answer).start();
     }
 
-    /** The attempts to store one submission. */
+    /** Writes one submission and retries until it is stored or the time is up. */
     private final class Attempt {
 
         /** The request. */
         private final CallerRequest request;
 
-        /** The cell that takes the submission. */
+        /** The cell that will run the submission. */
         private final String cell;
 
-        /** The transaction. */
+        /** The transaction that stores the submission; each retry sends the same one. */
         private final Commit commit;
 
-        /** Takes the answer. */
+        /** The callback for the response. */
         private final Consumer<CallerAnswer> answer;
 
-        /** When the first write was sent, in milliseconds. */
+        /** When the request arrived, on the monotonic clock, in milliseconds. */
         private final long beganMillis;
 
-        /** Whether a write has gone unanswered. */
+        /** Whether the store did not respond to some write, which it may still apply. */
         private boolean uncertain;
 
-        /** Whether the caller has been answered. */
+        /** Whether the response has been sent to the caller. */
         private boolean answered;
 
         /**
-         * Prepares the transaction.
+         * Creates the transaction without sending it.
          *
          * @param request the request
-         * @param submission the submission
-         * @param answer takes the answer
+         * @param submission the submission to store
+         * @param answer the callback for the response
          */
         Attempt(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
             this.request = request;
@@ -140,7 +145,7 @@
                             .put(CellKeys.inbox(cell) + request.id(), accepted);
         }
 
-        /** Sends the transaction, and answers at the latest when its time is over. */
+        /** Sends the transaction and schedules the response for the case that it takes too long. */
         void start() {
             long latest =
                     Math.min(
@@ -151,12 +156,12 @@
                         uncertain = true;
                         finish(
                                 StoreStatus.UNKNOWN,
-                                CallerAnswer.outcomeUnknown("the store did not answer in time"));
+                                CallerAnswer.outcomeUnknown("the store did not respond in time"));
                     });
             send();
         }
 
-        /** Sends the transaction. */
+        /** Sends the transaction, unless the caller already has a response. */
         private void send() {
             if (!answered) {
                 store.commit(commit, this::onResult);
@@ -164,9 +169,10 @@
         }
 
         /**
-         * Takes the answer of the store.
+         * Handles the result of a write. A conflict counts as success: a submission is already
+         * stored under the identifier, by an earlier write or an earlier request.
          *
-         * @param result the answer
+         * @param result the store's response
          */
         private void onResult(StoreResult<CommitReply> result) {
             switch (result.status()) {
@@ -180,9 +186,9 @@
         }
 
         /**
-         * Returns until when the write is tried again.
+         * Returns the time after which the write is not retried.
          *
-         * @return the time, in milliseconds
+         * @return the time on the monotonic clock, in milliseconds
          */
         private long latestRetry() {
             long patience = uncertain ? SILENCE_MILLIS : REFUSAL_MILLIS;
@@ -190,9 +196,9 @@
         }
 
         /**
-         * Sends the transaction again, or gives up.
+         * Schedules a retry, or responds with the failure if there is no time left for one.
          *
-         * @param result the answer of the store
+         * @param result the store's response to the write that failed
          */
         private void again(StoreResult<CommitReply> result) {
             if (runtime.nowMillis() + RETRY_MILLIS < latestRetry()) {
@@ -200,7 +206,7 @@
             } else if (uncertain) {
                 finish(
                         result.status(),
-                        CallerAnswer.outcomeUnknown("the store did not answer in time"));
+                        CallerAnswer.outcomeUnknown("the store did not respond in time"));
             } else {
                 finish(
                         result.status(),
@@ -209,10 +215,10 @@
         }
 
         /**
-         * Answers the caller.
+         * Sends the response and logs it; later calls have no effect.
          *
-         * @param status how the last write ended
-         * @param outcome the answer
+         * @param status the result of the last write
+         * @param outcome the response
          */
         private void finish(StoreStatus status, CallerAnswer outcome) {
             if (answered) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
@@ -17,24 +17,28 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Tells the state of submissions and cancels them. A submission is reported as unknown only after a
- * linearizable read; a cancellation is one write on condition that the record has not changed.
+ * Handles state queries and cancellations of submissions. A submission is reported as unknown only
+ * after a linearizable read. A cancellation is one transaction, on the condition that the record
+ * has not changed since it was read.
  */
 public final class SubmissionQuestions {
 
-    /** The pause before a call is sent again, in milliseconds. */
+    /** The delay before a failed call to the store is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 80;
 
-    /** How long a silent store is asked, in milliseconds: one call's timeout and half another. */
+    /**
+     * How long to wait for the store before the outcome is reported as unknown, in milliseconds:
+     * 1.5 times the timeout of a call to the store.
+     */
     private static final long SILENCE_MILLIS = 1_500;
 
-    /** How long before the caller's deadline the answer is due, in milliseconds. */
+    /** How long before the caller's deadline the response is sent, in milliseconds. */
     private static final long MARGIN_MILLIS = 150;
 
     /** The store. */
     private final MetadataStore store;
 
-    /** The cells that this process owns. */
+    /** Knows the current states of submissions in the cells that this process owns. */
     private final Cluster cluster;
 
     /** The clock and the timers. */
@@ -44,10 +48,10 @@
     private final DecisionLog log;
 
     /**
-     * Creates the answers.
+     * Creates a handler.
      *
      * @param store the store
-     * @param cluster the cells that this process owns
+     * @param cluster knows the current states of submissions in the cells that this process owns
      * @param runtime the clock and the timers
      * @param log the log
      */
@@ -60,32 +64,34 @@
     }
 
     /**
-     * Tells the state of a submission.
+     * Responds with the state of a submission.
      *
      * @param request the request
-     * @param answer takes the answer
+     * @param answer the callback for the response, called exactly once
      */
     void state(CallerRequest request, Consumer<CallerAnswer> answer) {
         read(request, false, bounded(request, false, answer));
     }
 
     /**
-     * Cancels a submission.
+     * Cancels a submission. The response holds the final state, which is not CANCELLED if the
+     * submission has already ended.
      *
      * @param request the request
-     * @param answer takes the answer
+     * @param answer the callback for the response, called exactly once
      */
     void cancel(CallerRequest request, Consumer<CallerAnswer> answer) {
         read(request, true, bounded(request, true, answer));
     }
 
     /**
-     * Answers once, and at the latest when the caller may as well ask another VM.
+     * Limits the time until the response. If there is none by then, the caller learns that the
+     * outcome is unknown and can try another VM.
      *
      * @param request the request
-     * @param cancel whether the submission is to be cancelled
-     * @param answer takes the answer
-     * @return takes the first answer and drops others
+     * @param cancel whether the request is a cancellation
+     * @param answer the callback for the response
+     * @return a callback that passes on the first response and drops later ones
      */
     private Consumer<CallerAnswer> bounded(
             CallerRequest request, boolean cancel, Consumer<CallerAnswer> answer) {
@@ -101,16 +107,18 @@
         long left = request.deadlineMillis() - MARGIN_MILLIS - runtime.nowMillis();
         runtime.schedule(
                 Math.max(0, Math.min(left, SILENCE_MILLIS)),
-                () -> once.accept(CallerAnswer.outcomeUnknown("the store did not answer in time")));
+                () ->
+                        once.accept(
+                                CallerAnswer.outcomeUnknown("the store did not respond in time")));
         return once;
     }
 
     /**
-     * Reads the record of a submission.
+     * Reads the record of a submission from the store.
      *
      * @param request the request
-     * @param cancel whether the submission is to be cancelled
-     * @param answer takes the answer
+     * @param cancel whether the request is a cancellation
+     * @param answer the callback for the response
      */
     private void read(CallerRequest request, boolean cancel, Consumer<CallerAnswer> answer) {
         store.read(
@@ -119,12 +127,12 @@
     }
 
     /**
-     * Takes the record of a submission.
+     * Responds to a state query, or writes the cancellation of a submission that has not ended.
      *
      * @param request the request
-     * @param cancel whether the submission is to be cancelled
-     * @param answer takes the answer
-     * @param result the reading
+     * @param cancel whether the request is a cancellation
+     * @param answer the callback for the response
+     * @param result the result of the read
      */
     private void onRecord(
             CallerRequest request,
@@ -148,11 +156,13 @@
     }
 
     /**
-     * Returns the state to tell.
+     * Returns the state to report. The record says QUEUED until the submission ends; if it has not
+     * ended, the state comes from the owner of the cell.
      *
      * @param request the request
      * @param record the stored record
-     * @return the state
+     * @return the state; RUNNING if another process owns the cell, if the owner does not know the
+     *     submission, or if the owner has seen the end but has not stored it
      */
     private SubmissionState present(CallerRequest request, SubmissionRecord record) {
         if (record.state().isFinal()) {
@@ -163,12 +173,12 @@
     }
 
     /**
-     * Writes a cancellation.
+     * Stores a cancellation.
      *
      * @param request the request
-     * @param answer takes the answer
+     * @param answer the callback for the response
      * @param record the stored record
-     * @param revision its revision
+     * @param revision the revision of the record, which must not have changed
      */
     private void write(
             CallerRequest request,
@@ -190,11 +200,11 @@
     }
 
     /**
-     * Takes the answer to a cancellation.
+     * Handles the result of a cancellation.
      *
      * @param request the request
-     * @param answer takes the answer
-     * @param result the answer of the store
+     * @param answer the callback for the response
+     * @param result the store's response
      */
     private void onCancelled(
             CallerRequest request, Consumer<CallerAnswer> answer, StoreResult<CommitReply> result) {
@@ -206,12 +216,13 @@
     }
 
     /**
-     * Reads again, or gives up shortly before the caller's deadline.
+     * Schedules another read, or responds that the outcome is unknown if the caller's deadline is
+     * too close for one.
      *
      * @param request the request
-     * @param cancel whether the submission is to be cancelled
-     * @param answer takes the answer
-     * @param status how the last call ended
+     * @param cancel whether the request is a cancellation
+     * @param answer the callback for the response
+     * @param status the result of the last call to the store
      */
     private void again(
             CallerRequest request,
@@ -221,16 +232,18 @@
         if (runtime.nowMillis() + RETRY_MILLIS < request.deadlineMillis() - MARGIN_MILLIS) {
             runtime.schedule(RETRY_MILLIS, () -> read(request, cancel, answer));
         } else {
-            answer.accept(CallerAnswer.outcomeUnknown("the store did not answer, " + status));
+            answer.accept(
+                    CallerAnswer.outcomeUnknown(
+                            "the call to the store failed with status " + status));
         }
     }
 
     /**
-     * Writes a line for a cancellation or a question that could not be answered.
+     * Logs each cancellation, and each state query that failed.
      *
      * @param request the request
-     * @param cancel whether the submission was to be cancelled
-     * @param outcome the answer
+     * @param cancel whether the request is a cancellation
+     * @param outcome the response
      */
     private void log(CallerRequest request, boolean cancel, CallerAnswer outcome) {
         if (cancel || outcome.retryAfterSeconds() > 0) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The requests of callers: submissions, questions and cancellations. */
+/** The HTTP interface for callers: submissions, state queries and cancellations. */
 @NullMarked
 package org.damasktiller.node.caller;
 
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -21,22 +21,22 @@
 import org.damasktiller.standin.time.PausedRuntime;
 import org.junit.jupiter.api.Test;
 
-/** Tests what a caller is told of a submission when the store fails. */
+/** Tests the responses to submissions while the store works and while it fails. */
 final class SubmissionAcceptorTest {
 
-    /** A submission's identifier. */
+    /** The identifier of the submission. */
     private static final String ID = "00000000000000a1";
 
-    /** The clock. */
+    /** The clock and the timers, which the tests advance. */
     private final PausedRuntime runtime = new PausedRuntime();
 
-    /** The store. */
+    /** The contents of the store. */
     private final StoreModel store = new StoreModel(runtime);
 
-    /** The answers. */
+    /** The responses that the acceptor has sent. */
     private final List<CallerAnswer> answers = new ArrayList<>();
 
-    /** When the answer came, in milliseconds. */
+    /** When the last response was sent, on the clock of the test, in milliseconds. */
     private long answeredAtMillis;
 
     @Test
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Hands in a submission.
+     * Submits the submission and advances the clock by 4 s, 1 s beyond the caller's deadline.
      *
-     * @param fates what becomes of the first calls to the store
+     * @param fates what happens to the first calls to the store; later calls succeed
      */
     private void submit(List<CallFate> fates) {
         Iterator<CallFate> next = fates.iterator();
@@ -132,9 +132,9 @@
     }
 
     /**
-     * Returns the status of the one answer.
+     * Returns the status of the response and checks that there is exactly one.
      *
-     * @return the status
+     * @return the HTTP status code
      */
     private int status() {
         assertThat(answers.size(), equalTo(1));
@@ -142,10 +142,10 @@
     }
 
     /**
-     * Makes a list of one fate.
+     * Returns a list with the same fate for more calls than the acceptor makes.
      *
-     * @param fate the fate
-     * @return the list
+     * @param fate what happens to each call
+     * @return 60 times the fate
      */
     private static List<CallFate> repeat(CallFate fate) {
         List<CallFate> fates = new ArrayList<>();
