--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -16,19 +16,20 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 
 /**
- * Wins the ownership of one cell: creates the owner's key and raises the generation in the head key
- * in one transaction. A process that finds its own key left over, from before its restart or from a
- * transaction whose answer was lost, takes the cell with a new generation.
+ * Takes part in the election of the owner of one cell. An attempt is one transaction that writes
+ * the owner key, under the lease of the process, and increments the generation in the head key. A
+ * process that finds an owner key of its own VM, left by the process before a restart or by a
+ * transaction whose response was lost, takes over the cell with a new generation.
  */
 public final class CellElection {
 
-    /** The time between the attempts of processes that follow in rank, in milliseconds. */
+    /** The delay of an attempt for each rank below the first, in milliseconds. */
     private static final long RANK_MILLIS = 200;
 
     /** The cell. */
     private final String cell;
 
-    /** The zone of the cell, empty if it spans all. */
+    /** The availability zone of the cell, empty if the cell spans all zones. */
     private final String zone;
 
     /** This process. */
@@ -37,10 +38,10 @@
     /** The store. */
     private final MetadataStore store;
 
-    /** The lease under which the owner's key is written. */
+    /** Holds the lease under which the owner key is written. */
     private final StoreSession session;
 
-    /** What the others publish. */
+    /** Knows the owner of each cell and the registered processes. */
     private final ClusterView view;
 
     /** The clock. */
@@ -49,26 +50,29 @@
     /** The log. */
     private final DecisionLog log;
 
-    /** Told when a term begins. */
+    /** Notified when this process becomes the owner. */
     private final Winner winner;
 
-    /** Whether an attempt is on its way. */
+    /** Whether an attempt has been started and has no result yet. */
     private boolean trying;
 
     /** Whether this process owns the cell. */
     private boolean owning;
 
-    /** Since when the cell has been seen without an owner, in milliseconds, or -1. */
+    /**
+     * When this process first saw the cell without an owner, on the monotonic clock, in
+     * milliseconds; -1 while the cell has an owner.
+     */
     private long vacantSinceMillis = -1;
 
     /**
-     * Creates an election that is not held yet.
+     * Creates an election; no attempt is made before {@link #consider} is called.
      *
      * @param cell the cell
-     * @param zone the zone of the cell, empty if it spans all
+     * @param zone the availability zone of the cell, empty if the cell spans all zones
      * @param identity this process
-     * @param cluster the shared parts
-     * @param winner told when a term begins
+     * @param cluster the shared dependencies
+     * @param winner notified when this process becomes the owner
      */
     CellElection(
             String cell, String zone, NodeIdentity identity, ClusterParts cluster, Winner winner) {
@@ -83,7 +87,11 @@
         this.winner = winner;
     }
 
-    /** Tries to win the cell if it has no owner and it is this process's turn. */
+    /**
+     * Starts an attempt if the cell has no owner, or an owner key of this VM, and has been vacant
+     * long enough for the rank of this process. Called at regular intervals and after each change
+     * in the view.
+     */
     void consider() {
         if (owning || trying || !view.synced() || session.lease() == StoreSession.NONE) {
             return;
@@ -106,16 +114,16 @@
         }
     }
 
-    /** Notes that the term has ended. */
+    /** Records that the term of this process has ended, so that new attempts are possible. */
     void lost() {
         owning = false;
         vacantSinceMillis = -1;
     }
 
     /**
-     * Gives the cell up so that another process can take it at once.
+     * Removes the owner key, so that another process can take over before the lease expires.
      *
-     * @param ownerRevision the revision of the owner's key
+     * @param ownerRevision the revision of the owner key; if it has changed, nothing is removed
      */
     void resign(long ownerRevision) {
         Commit commit =
@@ -128,10 +136,11 @@
     }
 
     /**
-     * Takes the head and tries to win.
+     * Sends the transaction of an attempt, on the condition that neither the owner key nor the head
+     * key has changed.
      *
-     * @param result the reading
-     * @param ownerRevision the revision that the owner's key must have
+     * @param result the result of reading the head key
+     * @param ownerRevision the expected revision of the owner key, ABSENT if there must be none
      */
     private void onHead(StoreResult<StoreReading> result, long ownerRevision) {
         boolean absent = result.status() == StoreStatus.ABSENT;
@@ -156,10 +165,10 @@
     }
 
     /**
-     * Takes the answer to an attempt.
+     * Handles the result of an attempt and starts the term if it succeeded.
      *
-     * @param result the answer
-     * @param record the value of the owner's key
+     * @param result the store's response
+     * @param record the value of the owner key in the transaction
      */
     private void onCommitted(StoreResult<CommitReply> result, OwnerRecord record) {
         trying = false;
@@ -185,13 +194,13 @@
         }
     }
 
-    /** Told when a term begins. */
+    /** Is notified when this process becomes the owner of the cell. */
     interface Winner {
 
         /**
-         * Begins a term.
+         * Called when an attempt has succeeded.
          *
-         * @param term the term
+         * @param term the term that begins
          */
         void won(CellTerm term);
     }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
@@ -20,33 +20,41 @@
 import org.damasktiller.scheduler.port.WorkerCalls;
 import org.jspecify.annotations.Nullable;
 
-/** The part of a process in the cluster: it shows that it lives and owns the cells that it wins. */
+/**
+ * Manages the membership of this process in the cluster: registers the process under a lease, takes
+ * part in the election of each cell's owner, and runs a {@link CellOwner} for each cell that it has
+ * won. Used on the thread of the event loop only.
+ */
 public final class Cluster {
 
-    /** The time between two looks at vacant cells, in milliseconds. */
+    /** The interval at which vacant cells are looked for, in milliseconds. */
     private static final long CONSIDER_MILLIS = 100;
 
-    /**
-     * The time between two checks of the key that shows that the process lives, in milliseconds.
-     */
+    /** The interval at which the registration of this process is checked, in milliseconds. */
     private static final long ANNOUNCE_MILLIS = 1_000;
 
-    /** Up to how far the store counts as near, in milliseconds: less than a region away. */
+    /**
+     * The longest round trip for which the store counts as near, in milliseconds: less than a round
+     * trip between regions.
+     */
     private static final long NEAR_MILLIS = 25;
 
-    /** How long a process waits for others before it takes part, in milliseconds. */
+    /**
+     * The delay between the first registration of this process and its first election, in
+     * milliseconds, in which other processes that start at the same time can register.
+     */
     private static final long SETTLE_MILLIS = 400;
 
-    /** This process. */
+    /** The identity of this process. */
     private final NodeIdentity identity;
 
     /** The settings of the cells. */
     private final CellSettings settings;
 
-    /** The layout of the cells. */
+    /** Maps services and zones to cells. */
     private final CellLayout layout;
 
-    /** The shared parts. */
+    /** The dependencies that all elections share. */
     private final ClusterParts parts;
 
     /** The calls to workers. */
@@ -55,37 +63,39 @@
     /** The calls to the advice service. */
     private final AdviceCalls advice;
 
-    /** The platform's records. */
+    /** Reads and writes the platform's record formats. */
     private final PlatformFormats formats;
 
-    /** The elections by cell. */
+    /** The election of each cell in the current and earlier manifests, by the cell's name. */
     private final Map<String, CellElection> elections = new HashMap<>();
 
-    /** The cells that this process owns. */
+    /** The owners of the cells that this process has won, by the cell's name. */
     private final Map<String, CellOwner> owned = new HashMap<>();
 
-    /** The terms of the cells that this process owns. */
+    /** The terms of the cells that this process has won, by the cell's name. */
     private final Map<String, CellTerm> terms = new HashMap<>();
 
-    /** The manifest in force, or null before the first. */
+    /** The current manifest, or null before the first one has been read. */
     private @Nullable Manifest manifest;
 
-    /** When the process showed that it lives first, in milliseconds, or -1. */
+    /**
+     * When the process was first registered, on the monotonic clock, in milliseconds, or -1 before.
+     */
     private long announcedMillis = -1;
 
-    /** Whether the process is leaving. */
+    /** Whether the process is leaving the cluster. */
     private boolean leaving;
 
     /**
-     * Creates the part of a process that has not begun.
+     * Creates a member that is not started yet.
      *
-     * @param identity this process
-     * @param layout the layout of the cells
+     * @param identity the identity of this process
+     * @param layout maps services and zones to cells
      * @param settings the settings of the cells
      * @param store the store
      * @param calls the calls to workers
      * @param advice the calls to the advice service
-     * @param formats the platform's records
+     * @param formats reads and writes the platform's record formats
      * @param runtime the clock and the timers
      * @param log the log
      */
@@ -110,7 +120,7 @@
         this.parts = new ClusterParts(store, session, view, runtime, log);
     }
 
-    /** Begins to take part. */
+    /** Starts the lease, the view, the registration and the elections. */
     public void start() {
         parts.session().start();
         parts.view().start();
@@ -118,14 +128,14 @@
         consider();
     }
 
-    /** Gives up all cells and takes no new ones. */
+    /** Ends the terms of all owned cells, removes their owner keys, and stops taking new cells. */
     public void leave() {
         leaving = true;
         Map<String, CellOwner> held = new HashMap<>(owned);
         held.forEach(
                 (cell, owner) -> {
                     CellTerm term = terms.get(cell);
-                    owner.stop("the process is leaving");
+                    owner.stop("the process is leaving the cluster");
                     CellElection election = elections.get(cell);
                     if (term != null && election != null) {
                         election.resign(term.headRevision());
@@ -133,15 +143,15 @@
                 });
     }
 
-    /** Ends the lease of the process. */
+    /** Ends the lease of the process, which removes all keys written under it. */
     public void close() {
         parts.session().close();
     }
 
     /**
-     * Puts a manifest in force.
+     * Applies a new version of the manifest: adds elections for new cells and updates the owners.
      *
-     * @param next the manifest
+     * @param next the new version
      */
     public void manifest(Manifest next) {
         manifest = next;
@@ -155,30 +165,32 @@
     }
 
     /**
-     * Tells whether the store has answered lately.
+     * Tells whether the store has responded recently.
      *
-     * @return whether it has
+     * @return whether the store counts as reachable
      */
     public boolean storeReachable() {
         return parts.session().reachable();
     }
 
     /**
-     * Returns how many submissions of a route wait for their first start.
+     * Returns how many submissions of a route are pending, that is, wait for the start of their
+     * first task.
      *
      * @param route the name of the route
-     * @return the number
+     * @return the number over all cells
      */
     public int pending(String route) {
         return parts.view().pending(route);
     }
 
     /**
-     * Finds the state of an open submission in a cell that this process owns.
+     * Returns the state of an open submission in a cell that this process owns.
      *
-     * @param cell the cell
-     * @param id the submission
-     * @return the state, or null if this process does not know it
+     * @param cell the cell's name
+     * @param id the submission's identifier
+     * @return the state, or null if this process does not own the cell or does not know the
+     *     submission
      */
     public @Nullable SubmissionState state(String cell, String id) {
         CellOwner owner = owned.get(cell);
@@ -186,9 +198,9 @@
     }
 
     /**
-     * Makes the election of a cell.
+     * Creates the election of a cell.
      *
-     * @param cell the cell
+     * @param cell the cell's name
      * @return the election
      */
     private CellElection election(String cell) {
@@ -196,13 +208,16 @@
                 cell, layout.zoneOf(cell), identity, parts, term -> begin(cell, term));
     }
 
-    /** Looks at vacant cells at regular times. */
+    /** Tries to win vacant cells at regular intervals. */
     private void consider() {
         considerAll();
         parts.runtime().schedule(CONSIDER_MILLIS, this::consider);
     }
 
-    /** Looks at all cells. */
+    /**
+     * Tries to win vacant cells, unless the process is leaving, has no manifest, or registered too
+     * recently.
+     */
     private void considerAll() {
         boolean settled =
                 announcedMillis >= 0
@@ -212,7 +227,11 @@
         }
     }
 
-    /** Shows at regular times that the process lives. */
+    /**
+     * Registers the process, and at regular intervals checks that the registration still exists,
+     * since its key disappears with an expired lease. Waits for the first renewal of the lease,
+     * which measures the round trip to the store.
+     */
     private void announce() {
         if (leaving) {
             return;
@@ -240,9 +259,9 @@
     }
 
     /**
-     * Notes that the process has shown that it lives.
+     * Records the time of the first successful registration.
      *
-     * @param status how the call ended
+     * @param status the result of the call to the store
      */
     private void onAnnounced(StoreStatus status) {
         if (status == StoreStatus.OK && announcedMillis < 0) {
@@ -251,10 +270,10 @@
     }
 
     /**
-     * Begins a term.
+     * Starts an owner for a cell that this process has won.
      *
-     * @param cell the cell
-     * @param term the term
+     * @param cell the cell's name
+     * @param term the term that begins
      */
     private void begin(String cell, CellTerm term) {
         Manifest inForce = manifest;
@@ -287,9 +306,9 @@
     }
 
     /**
-     * Notes that a term has ended.
+     * Removes the owner of a cell whose term has ended.
      *
-     * @param cell the cell
+     * @param cell the cell's name
      */
     private void end(String cell) {
         owned.remove(cell);
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterParts.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterParts.java
@@ -5,11 +5,11 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
 /**
- * What the elections of a process share.
+ * The dependencies that all elections of a process share.
  *
  * @param store the store
- * @param session the lease
- * @param view what the others publish
+ * @param session the lease under which the process writes its keys
+ * @param view the keys that all processes publish
  * @param runtime the clock and the timers
  * @param log the log
  */
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -16,40 +16,43 @@
 import org.damasktiller.scheduler.port.StoreItem;
 import org.jspecify.annotations.Nullable;
 
-/** What all processes publish: who lives, who owns which cell, and how much waits there. */
+/**
+ * Caches the keys that all processes publish in the store: the registered processes, the owner of
+ * each cell, and the counts of pending submissions. A watch keeps the cache up to date.
+ */
 public final class ClusterView implements PrefixWatch.Listener {
 
-    /** The prefix of the keys by which processes show that they live. */
+    /** The prefix of the keys that register living processes; the name of the VM follows. */
     static final String NODES = CellKeys.PUBLISHED + "node/";
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
     private static final long GROUPING_MILLIS = 40;
 
-    /** The watch. */
+    /** Watches the published keys. */
     private final PrefixWatch watch;
 
-    /** Told of each change of an owner or a node. */
+    /** Called after each change except those of pending counts. */
     private final Runnable changed;
 
-    /** The owner of each cell. */
+    /** The owners by the name of the cell. */
     private final Map<String, Owner> owners = new HashMap<>();
 
-    /** The counts of each cell. */
+    /** The pending counts by the name of the cell. */
     private final Map<String, PendingRecord> pending = new HashMap<>();
 
-    /** The living processes by VM. */
+    /** The registered processes by the name of the VM. */
     private final Map<String, NodeRecord> nodes = new HashMap<>();
 
-    /** Whether the keys have been read. */
+    /** Whether all keys have been read once. */
     private boolean synced;
 
     /**
-     * Creates a view that is not read yet.
+     * Creates an empty view.
      *
      * @param store the store
-     * @param runtime the timers
+     * @param runtime the clock and the timers
      * @param log the log
-     * @param changed told of each change of an owner or a node
+     * @param changed called after each change except those of pending counts
      */
     public ClusterView(
             MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changed) {
@@ -58,15 +61,16 @@
                 new PrefixWatch(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
     }
 
-    /** Begins to follow. */
+    /** Reads all keys and starts to watch them. */
     public void start() {
         watch.start();
     }
 
     /**
-     * Tells whether the keys have been read.
+     * Tells whether all keys have been read once. Before, a cell may have an owner that the view
+     * does not know.
      *
-     * @return whether they have
+     * @return whether the view is complete
      */
     public boolean synced() {
         return synced;
@@ -75,7 +79,7 @@
     /**
      * Returns the owner of a cell.
      *
-     * @param cell the cell
+     * @param cell the cell's name
      * @return the owner, or null if the cell has none
      */
     public @Nullable Owner owner(String cell) {
@@ -83,16 +87,16 @@
     }
 
     /**
-     * Returns the living processes.
+     * Returns the registered processes.
      *
-     * @return the processes
+     * @return a live view, which changes with the next event
      */
     public Collection<NodeRecord> nodes() {
         return nodes.values();
     }
 
     /**
-     * Returns how many submissions of a route wait for their first start.
+     * Returns how many submissions of a route wait for the start of their first task.
      *
      * @param route the name of the route
      * @return the number over all cells
@@ -129,9 +133,9 @@
     }
 
     /**
-     * Takes a key.
+     * Adds or replaces the entry of a key. An unreadable value leaves the previous entry.
      *
-     * @param item the item
+     * @param item the stored item
      */
     private void put(StoreItem item) {
         String key = item.key();
@@ -156,7 +160,7 @@
     }
 
     /**
-     * Forgets a key.
+     * Removes the entry of a key.
      *
      * @param key the key
      */
@@ -173,8 +177,9 @@
     /**
      * The owner of a cell.
      *
-     * @param record the value of its key
-     * @param revision the revision of its key
+     * @param record the value of the owner key
+     * @param revision the revision of the owner key, which a transaction that replaces it must
+     *     expect
      */
     public record Owner(OwnerRecord record, long revision) {}
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ElectionRank.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ElectionRank.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * Ranks the processes that may take a vacant cell, so that they try one after the other. Load
- * pattern: an owner dies and every process sees it at once; the first in rank is near the store and
- * in the zone of the cell, and cells are spread over the processes by a hash.
+ * Ranks the processes that may take over a vacant cell, so that they try one after the other: when
+ * an owner dies, all processes see it at the same time and would otherwise all write to the store.
+ * Processes in the cell's zone rank first, then processes near the store; a hash of cell and VM
+ * orders the rest and spreads the cells over the processes.
  */
 final class ElectionRank {
 
@@ -15,13 +16,13 @@
     private ElectionRank() {}
 
     /**
-     * Returns the place of a process in the order for a cell.
+     * Returns the rank of a process for a cell.
      *
      * @param cell the cell
-     * @param zone the zone of the cell, empty if it spans all
-     * @param nodes the living processes
-     * @param node the VM to rank
-     * @return the place from 0; the number of processes if the VM is not among them
+     * @param zone the availability zone of the cell, empty if the cell spans all zones
+     * @param nodes the registered processes
+     * @param node the name of the VM to rank
+     * @return the rank, 0 for the first; the number of processes if the VM is not among them
      */
     static int of(String cell, String zone, Collection<NodeRecord> nodes, String node) {
         Comparator<NodeRecord> order =
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
@@ -12,38 +12,41 @@
 import org.damasktiller.scheduler.port.StoreItem;
 import org.jspecify.annotations.Nullable;
 
-/** Follows the operator's manifest; the version in force never falls. */
+/**
+ * Watches the operator's manifest in the store and notifies a listener of each new version. Items
+ * with an older revision are ignored, so that the current manifest never goes back.
+ */
 public final class ManifestFollower implements PrefixWatch.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
+    /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
     private static final long GROUPING_MILLIS = 20;
 
-    /** The platform's records. */
+    /** Decodes the manifest and knows its key. */
     private final PlatformFormats formats;
 
     /** The log. */
     private final DecisionLog log;
 
-    /** Told of each new version. */
+    /** Notified of each new version. */
     private final Consumer<Manifest> listener;
 
-    /** The watch. */
+    /** Watches the key of the manifest. */
     private final PrefixWatch watch;
 
-    /** The manifest in force, or null before the first. */
+    /** The current manifest, or null before the first one has been read. */
     private @Nullable Manifest manifest;
 
-    /** The revision of the manifest in force. */
+    /** The store's revision of the current manifest. */
     private long revision;
 
     /**
-     * Creates a follower that has not begun.
+     * Creates a watcher that is not started yet.
      *
      * @param store the store
-     * @param formats the platform's records
-     * @param runtime the timers
+     * @param formats decodes the manifest and knows its key
+     * @param runtime the clock and the timers
      * @param log the log
-     * @param listener told of each new version
+     * @param listener notified of each new version
      */
     public ManifestFollower(
             MetadataStore store,
@@ -58,15 +61,15 @@
                 new PrefixWatch(formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
     }
 
-    /** Begins to follow. */
+    /** Reads the manifest and starts to watch it. */
     public void start() {
         watch.start();
     }
 
     /**
-     * Returns the manifest in force.
+     * Returns the current manifest.
      *
-     * @return the manifest, or null before the first
+     * @return the manifest, or null before the first one has been read
      */
     public @Nullable Manifest current() {
         return manifest;
@@ -86,9 +89,9 @@
     }
 
     /**
-     * Puts a manifest in force if it is newer.
+     * Makes a stored manifest the current one if its revision is newer and it can be decoded.
      *
-     * @param item the stored manifest
+     * @param item the stored item
      */
     private void take(StoreItem item) {
         if (!item.key().equals(formats.manifestKey()) || item.revision() <= revision) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/NodeIdentity.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/NodeIdentity.java
@@ -1,10 +1,10 @@
 package org.damasktiller.node.cluster;
 
 /**
- * Names a process.
+ * Identifies one process of an entry VM.
  *
  * @param node the name of the VM
- * @param process the number of the process, different after each start
- * @param zone the availability zone
+ * @param process a random identifier of the process, different after each start
+ * @param zone the availability zone of the VM
  */
 public record NodeIdentity(String node, String process, String zone) {}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/NodeRecord.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/NodeRecord.java
@@ -1,11 +1,12 @@
 package org.damasktiller.node.cluster;
 
 /**
- * The value of the key by which a process shows that it lives.
+ * The stored value of the key that registers a living process. The key is written under the lease
+ * of the process, so that it disappears soon after the process dies.
  *
  * @param node the name of the VM
- * @param process the number of the process, different after each start
- * @param zone the availability zone
- * @param near whether the store is in reach within a region
+ * @param process a random identifier of the process, different after each start
+ * @param zone the availability zone of the VM
+ * @param near whether the round trip to the store is short enough for both to be in one region
  */
 public record NodeRecord(String node, String process, String zone, boolean near) {}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
@@ -7,19 +7,23 @@
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
 
-/** Keeps a lease of the store alive and tells whether the store can be reached. */
+/**
+ * Holds a lease of the store for this process: obtains it, renews it until the session is closed,
+ * and obtains a new one after it has expired. The renewals also show whether the store is reachable
+ * and how long a round trip takes.
+ */
 public final class StoreSession {
 
-    /** No lease. */
+    /** Stands for the identifier of a lease while there is none. */
     public static final long NONE = 0;
 
-    /** The time between renewals, in milliseconds: four in the life of a lease. */
+    /** The interval between renewals, in milliseconds: a quarter of the default lease duration. */
     private static final long RENEW_MILLIS = 500;
 
-    /** The pause after a failed call, in milliseconds. */
+    /** The delay before a failed call is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 150;
 
-    /** For how long after an answer the store counts as reachable, in milliseconds. */
+    /** How long the store counts as reachable after its last response, in milliseconds. */
     private static final long REACHABLE_MILLIS = 1_800;
 
     /** The store. */
@@ -31,31 +35,33 @@
     /** The log. */
     private final DecisionLog log;
 
-    /** How long the lease is to live, in milliseconds. */
+    /** The requested duration of the lease without a renewal, in milliseconds. */
     private final long lifeMillis;
 
-    /** The lease, or NONE. */
+    /** The identifier of the current lease, or NONE. */
     private long lease = NONE;
 
-    /** When a call was answered last, in milliseconds. */
+    /**
+     * When the store last granted or renewed the lease, on the monotonic clock, in milliseconds.
+     */
     private long answeredAtMillis;
 
-    /** How long the fastest renewal took, in milliseconds. */
+    /** The round-trip time of the fastest renewal, in milliseconds; MAX_VALUE before the first. */
     private long fastestMillis = Long.MAX_VALUE;
 
-    /** Whether the store was reachable when last looked at. */
+    /** Whether the store was reachable at the last check, to log changes only. */
     private boolean reachable;
 
-    /** Whether the session has ended. */
+    /** Whether the session has been closed. */
     private boolean closed;
 
     /**
-     * Creates a session that has not begun.
+     * Creates a session that is not started yet; the store counts as unreachable.
      *
      * @param store the store
      * @param runtime the clock and the timers
      * @param log the log
-     * @param lifeMillis how long the lease is to live without renewal, in milliseconds
+     * @param lifeMillis the requested duration of the lease without a renewal, in milliseconds
      */
     public StoreSession(
             MetadataStore store, ProcessRuntime runtime, DecisionLog log, long lifeMillis) {
@@ -66,14 +72,14 @@
         this.answeredAtMillis = runtime.nowMillis() - REACHABLE_MILLIS;
     }
 
-    /** Begins to take out the lease. */
+    /** Requests a lease and retries until it is granted. */
     public void start() {
         if (!closed) {
             store.grantLease(lifeMillis, this::onGranted);
         }
     }
 
-    /** Ends the lease and the keys under it. */
+    /** Stops the renewals and ends the lease, which removes all keys written under it. */
     public void close() {
         closed = true;
         if (lease != NONE) {
@@ -84,18 +90,18 @@
     }
 
     /**
-     * Returns the lease.
+     * Returns the identifier of the current lease.
      *
-     * @return its number, or NONE
+     * @return the identifier, or NONE if no lease is held
      */
     public long lease() {
         return lease;
     }
 
     /**
-     * Tells whether the store has answered lately.
+     * Tells whether the store has responded recently, and logs a change since the last check.
      *
-     * @return whether it has
+     * @return whether the store counts as reachable
      */
     public boolean reachable() {
         boolean now = runtime.nowMillis() - answeredAtMillis < REACHABLE_MILLIS;
@@ -110,18 +116,19 @@
     }
 
     /**
-     * Returns how long the fastest renewal took, a measure of the distance to the store.
+     * Returns the round-trip time of the fastest renewal, which estimates the network latency to
+     * the store.
      *
-     * @return the time, in milliseconds
+     * @return the time, in milliseconds; {@link Long#MAX_VALUE} before the first renewal
      */
     public long distanceMillis() {
         return fastestMillis;
     }
 
     /**
-     * Takes a new lease.
+     * Handles the response to a lease request.
      *
-     * @param result the lease
+     * @param result the granted lease, or the failure
      */
     private void onGranted(StoreResult<StoreLease> result) {
         if (closed) {
@@ -138,7 +145,7 @@
         renew();
     }
 
-    /** Renews the lease. */
+    /** Sends a renewal of the lease. */
     private void renew() {
         if (closed) {
             return;
@@ -148,10 +155,11 @@
     }
 
     /**
-     * Takes the answer to a renewal.
+     * Handles the response to a renewal: schedules the next one, or requests a new lease if the old
+     * one has expired.
      *
-     * @param result the answer
-     * @param sentMillis when the renewal was sent, in milliseconds
+     * @param result the store's response
+     * @param sentMillis when the renewal was sent, on the monotonic clock, in milliseconds
      */
     private void onRenewed(StoreResult<Boolean> result, long sentMillis) {
         if (closed) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
@@ -1,4 +1,4 @@
-/** Which process owns which cell, and the manifest in force. */
+/** Cluster membership, the election of cell owners, and the watch on the operator's manifest. */
 @NullMarked
 package org.damasktiller.node.cluster;
 
--- a/damasktiller-node/src/test/java/org/damasktiller/node/cluster/ElectionRankTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/cluster/ElectionRankTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests the order in which processes try to take a vacant cell. */
+/** Tests the order in which processes try to take over a vacant cell. */
 final class ElectionRankTest {
 
-    /** The living processes. */
+    /** The registered processes. */
     private static final List<NodeRecord> NODES =
             List.of(
                     new NodeRecord("far-1", "p", "c", false),
