--- a/damasktiller-node/src/main/java/org/damasktiller/node/log/JsonLineLog.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/log/JsonLineLog.java
@@ -16,48 +16,49 @@
 import org.damasktiller.scheduler.port.DecisionLog;
 
 /**
- * Writes decisions as JSON lines. Lines go through a bounded queue to a thread of their own, so
- * that a reader that stands still never blocks the event loop. Each kind of event has a budget of
- * lines a second; what goes beyond it or does not fit the queue is counted, and the count is
- * written.
+ * Writes log events as lines of JSON. A bounded queue passes the lines to a writer thread, so that
+ * an output that blocks never blocks the event loop. The lines of each event name are rate-limited.
+ * Lines over the limit and lines that do not fit into the queue are dropped and counted, and the
+ * count is logged.
  */
 public final class JsonLineLog implements DecisionLog {
 
-    /** The most lines of one kind of event in a second. */
+    /** The maximum number of lines of one event name in a window. */
     private static final int LINES_PER_SECOND = 400;
 
-    /** The most lines that wait to be written. */
+    /** The maximum number of lines in the queue. */
     private static final int QUEUE_LINES = 4_096;
 
-    /** The length of a budget's window, in milliseconds. */
+    /** The length of a rate limit's window, in milliseconds. */
     private static final long WINDOW_MILLIS = 1_000;
 
-    /** Makes the lines. */
+    /** Creates a JSON generator for each line. */
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    /** The lines that wait. */
+    /** The lines that are not written yet. */
     private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
 
-    /** The number of lines of each kind in the present window. */
+    /** The number of lines in the current window by event name. */
     private final Map<String, Integer> used = new HashMap<>();
 
-    /** The time of day. */
+    /** The wall clock. */
     private final Clock clock;
 
-    /** The name of the VM, part of each line. */
+    /** The name of the VM, a field of each line. */
     private final String node;
 
-    /** When the present window began, in milliseconds since 1970. */
+    /** The start of the current window, in milliseconds since 1970. */
     private long windowBegan;
 
-    /** How many lines were left out since the last line that said so. */
+    /** The number of lines dropped since a count was last logged. */
     private int leftOut;
 
     /**
-     * Creates a log. Used on one thread.
+     * Creates a log whose lines stay in the queue until it is started. All events must be logged on
+     * one thread.
      *
-     * @param node the name of the VM
-     * @param clock the time of day
+     * @param node the name of the VM, a field of each line
+     * @param clock the wall clock
      */
     public JsonLineLog(String node, Clock clock) {
         this.node = node;
@@ -65,9 +66,9 @@
     }
 
     /**
-     * Starts to write.
+     * Starts the writer thread.
      *
-     * @param output where the lines go
+     * @param output the stream to write to, flushed after each batch of lines
      */
     public void start(OutputStream output) {
         Thread thread = new Thread(() -> write(output), "log");
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Puts a line into the queue, or counts it if the queue is full.
+     * Adds a line to the queue, or drops and counts it if the queue is full.
      *
-     * @param line the line
+     * @param line the line with its line break
      */
     private void offer(String line) {
         if (!queue.offer(line)) {
@@ -106,12 +107,12 @@
     }
 
     /**
-     * Makes a line.
+     * Formats an event as a line of JSON.
      *
-     * @param now the time, in milliseconds since 1970
-     * @param event the kind of the event
-     * @param fields names and values by turns
-     * @return the line
+     * @param now the wall-clock time, in milliseconds since 1970
+     * @param event the name of the event
+     * @param fields alternating names and values
+     * @return the line with its line break
      */
     private String line(long now, String event, Object... fields) {
         StringWriter text = new StringWriter();
@@ -131,12 +132,12 @@
     }
 
     /**
-     * Writes a field.
+     * Writes one field of a line; a value that is neither a number nor a boolean becomes a string.
      *
-     * @param generator makes the line
-     * @param name the name
-     * @param value the value
-     * @throws IOException never, since the line goes to memory
+     * @param generator the generator of the line
+     * @param name the name of the field
+     * @param value the value of the field
+     * @throws IOException never, because the generator writes to memory
      */
     private static void write(JsonGenerator generator, String name, Object value)
             throws IOException {
@@ -152,9 +153,9 @@
     }
 
     /**
-     * Writes the lines that wait, as long as the process lives.
+     * Runs the writer thread: writes queued lines until it is interrupted or the output fails.
      *
-     * @param output where the lines go
+     * @param output the stream to write to
      */
     private void write(OutputStream output) {
         List<String> lines = new ArrayList<>();
@@ -169,7 +170,7 @@
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         } catch (IOException exception) {
-            System.err.println("the log can't be written: " + exception);
+            System.err.println("can't write the log: " + exception);
         }
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/log/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/log/package-info.java
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON line for each decision. */
+/** The structured log: one line of JSON for each event. */
 @NullMarked
 package org.damasktiller.node.log;
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
@@ -9,36 +9,37 @@
 import org.mpierce.metrics.reservoir.hdrhistogram.HdrHistogramReservoir;
 
 /**
- * Counts the decisions that are logged, each kind whether or not its line is written, and keeps
- * histograms of the times that they tell, for each route. Used on one thread.
+ * Derives metrics from log events before it passes them on: a counter for each event name, and a
+ * histogram for each route and each field that holds a duration. Events whose lines the log drops
+ * are counted, too. Used on one thread only.
  */
 public final class EventMetrics implements DecisionLog {
 
-    /** The field of a duration, in milliseconds. */
+    /** The name of the field that holds the duration of an operation, in milliseconds. */
     private static final String MILLIS = "millis";
 
-    /** The field of the time that a task waited, in milliseconds. */
+    /** The name of the field that holds how long a task waited for its start, in milliseconds. */
     private static final String WAITED = "waited";
 
-    /** The field of the route. */
+    /** The name of the field that holds the name of the route. */
     private static final String ROUTE = "route";
 
-    /** The quantile of half of the values. */
+    /** The quantile of the figure p50. */
     private static final double MEDIAN = 0.5;
 
-    /** The quantile of 99 of 100 values. */
+    /** The quantile of the figure p99. */
     private static final double TAIL = 0.99;
 
-    /** The log that the lines go to. */
+    /** The log to which events are passed on. */
     private final DecisionLog next;
 
-    /** The counters and histograms. */
+    /** The counters and histograms by name. */
     private final MetricRegistry registry = new MetricRegistry();
 
     /**
-     * Creates metrics without observations.
+     * Creates an empty set of metrics.
      *
-     * @param next the log that the lines go to
+     * @param next the log to which events are passed on
      */
     public EventMetrics(DecisionLog next) {
         this.next = next;
@@ -63,9 +64,9 @@
     }
 
     /**
-     * Renders the metrics, one name and value a line.
+     * Renders all metrics as text.
      *
-     * @return the text
+     * @return one line for each figure of each metric: its name, a space and its value
      */
     public String render() {
         StringBuilder text = new StringBuilder();
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Returns a histogram.
+     * Returns the histogram of a name, which is created at its first use.
      *
-     * @param name its name
+     * @param name the name of the metric
      * @return the histogram
      */
     private Histogram histogram(String name) {
@@ -93,12 +94,12 @@
     }
 
     /**
-     * Adds a line.
+     * Appends a line for one figure of a metric.
      *
-     * @param text the text
+     * @param text the text to append to
      * @param name the name of the metric
-     * @param figure which figure of it
-     * @param value the value
+     * @param figure the name of the figure, such as count or p99
+     * @param value the value of the figure
      */
     private static void line(StringBuilder text, String name, String figure, long value) {
         text.append(name).append('.').append(figure).append(' ').append(value).append('\n');
--- a/damasktiller-node/src/main/java/org/damasktiller/node/metrics/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Counters and histograms, made of the decisions that are logged. */
+/** Counters and histograms that are derived from log events. */
 @NullMarked
 package org.damasktiller.node.metrics;
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/LoopRuntime.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/LoopRuntime.java
@@ -5,30 +5,33 @@
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
-/** The clock and the timers of an event loop. */
+/**
+ * Provides the clock and the timers on top of an event loop. A scheduled action that throws an
+ * unchecked exception is logged and does not stop the event loop.
+ */
 public final class LoopRuntime implements ProcessRuntime {
 
     /** The number of nanoseconds in a millisecond. */
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** How many frames of a fault are logged. */
+    /** The maximum number of stack frames that are logged for an exception. */
     private static final int FRAMES = 4;
 
     /** The event loop. */
     private final Reactor reactor;
 
-    /** The time of day. */
+    /** The wall clock. */
     private final Clock clock;
 
-    /** The log. */
+    /** Records the failures of scheduled actions. */
     private final DecisionLog log;
 
     /**
-     * Creates the runtime.
+     * Creates a runtime.
      *
      * @param reactor the event loop
-     * @param clock the time of day
-     * @param log the log, for actions that fail
+     * @param clock the wall clock
+     * @param log records the failures of scheduled actions
      */
     public LoopRuntime(Reactor reactor, Clock clock, DecisionLog log) {
         this.reactor = reactor;
@@ -52,7 +55,8 @@
     }
 
     /**
-     * Runs an action; a fault of the program is logged and ends only this action.
+     * Runs an action and logs an unchecked exception, which indicates a bug, instead of passing it
+     * on.
      *
      * @param action the action
      */
@@ -65,10 +69,10 @@
     }
 
     /**
-     * Returns where an error arose.
+     * Returns the innermost stack frames of an exception.
      *
-     * @param exception the error
-     * @return the innermost frames
+     * @param exception the exception
+     * @return the frames, each followed by a space
      */
     private static String firstFrame(RuntimeException exception) {
         StackTraceElement[] frames = exception.getStackTrace();
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/Main.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/Main.java
@@ -6,22 +6,24 @@
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.platform.settings.SettingsReader;
 
-/** The program of an entry VM. */
+/**
+ * The main class of an entry VM: parses the command line, reads the settings and runs the process.
+ */
 public final class Main {
 
-    /** The exit code of a command line that can't be understood. */
+    /** The exit code for an invalid command line. */
     private static final int BAD_COMMAND_LINE = 2;
 
-    /** The exit code of settings that can't be used. */
+    /** The exit code for settings that are invalid, or an address that can't be listened on. */
     private static final int BAD_SETTINGS = 3;
 
     /** Prevents instantiation. */
     private Main() {}
 
     /**
-     * Runs the program.
+     * Runs the process until it is stopped by a signal.
      *
-     * @param arguments the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String[] arguments) {
         Options options = new Options();
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -36,88 +36,92 @@
 import org.damasktiller.scheduler.port.AdviceCalls;
 import org.damasktiller.scheduler.port.MetadataStore;
 
-/** The process of an entry VM: it takes callers, and owns the cells that it wins. */
+/**
+ * The process of an entry VM. It wires all components to one event loop, listens for callers and
+ * for the load balancer, and shuts down within the grace period after SIGTERM. Each entry VM
+ * accepts submissions, and owns the cells whose elections it wins.
+ */
 public final class NodeProcess {
 
-    /** How long an answer of the store may take, in milliseconds. */
+    /** The timeout of a call to the store, in milliseconds. */
     private static final long STORE_MILLIS = 1_000;
 
-    /** How long an answer of a watch may take, its wait of 1.5 s included, in milliseconds. */
+    /** The timeout of a watch call, in milliseconds; the store may hold such a call for 1.5 s. */
     private static final long WATCH_MILLIS = 2_600;
 
-    /** How long an answer of a worker may take, in milliseconds. */
+    /** The timeout of a call to a worker, in milliseconds. */
     private static final long WORKER_MILLIS = 600;
 
-    /** How long an answer to a look may take, its wait of 0.5 s included, in milliseconds. */
+    /** The timeout of a poll of a worker, in milliseconds; the worker may hold it for 0.5 s. */
     private static final long LOOK_MILLIS = 1_200;
 
-    /** How long an answer of the advice service may take, in milliseconds. */
+    /** The timeout of a call to the advice service, in milliseconds. */
     private static final long ADVICE_MILLIS = 3_000;
 
-    /** How long the load balancer needs to send callers elsewhere, in milliseconds. */
+    /** The time that the load balancer needs to direct callers to other VMs, in milliseconds. */
     private static final long BALANCER_MILLIS = 3_000;
 
-    /** How much of the grace is kept for the end of the process, in milliseconds. */
+    /** The part of the grace period that is reserved for the exit, in milliseconds. */
     private static final long EXIT_MARGIN_MILLIS = 1_000;
 
-    /** The time between two looks at the requests in flight while stopping, in milliseconds. */
+    /** The interval between checks for requests in flight during shutdown, in milliseconds. */
     private static final long STOP_POLL_MILLIS = 50;
 
-    /** How long a caller's connection may be idle, in milliseconds. */
+    /** How long an idle connection is kept open, in milliseconds. */
     private static final long IDLE_MILLIS = 30_000;
 
-    /** How long a caller may take to send a request, in milliseconds. */
+    /** The timeout for reading a request or writing a response, in milliseconds. */
     private static final long MESSAGE_MILLIS = 10_000;
 
-    /** The path of the metrics, on the address of the load balancer. */
+    /** The path of the metrics, served on the readiness address. */
     private static final String METRICS_PATH = "/metrics";
 
-    /** The status of a process that takes callers. */
+    /** The HTTP status of a ready process, and of the metrics. */
     private static final int READY = 200;
 
-    /** The status of a process that does not take callers. */
+    /** The HTTP status of a process that is not ready for callers. */
     private static final int NOT_READY = 503;
 
     /** The path of the settings file. */
     private final Path path;
 
-    /** The settings read at the start. */
+    /** The settings that were read at startup. */
     private final PlatformSettings settings;
 
-    /** The event loop. */
+    /** The event loop on which all components run. */
     private final Eventloop eventloop;
 
-    /** Writes the lines of the log. */
+    /** Writes log events to the standard output. */
     private final JsonLineLog lines;
 
-    /** The log, which counts what it passes on. */
+    /** The log of all components; derives metrics from the events and passes them on. */
     private final EventMetrics log;
 
     /** The clock and the timers. */
     private final LoopRuntime runtime;
 
-    /** The part in the cluster. */
+    /** The membership of this process in the cluster. */
     private final Cluster cluster;
 
-    /** The manifest. */
+    /** Watches the operator's manifest. */
     private final ManifestFollower manifest;
 
-    /** Takes callers. */
+    /** Serves the requests of callers. */
     private final CallerServlet servlet;
 
-    /** Listens for callers. */
+    /** The HTTP server for callers. */
     private final HttpServer callers;
 
-    /** Listens for the load balancer. */
+    /** The HTTP server for the load balancer's readiness checks and for the metrics. */
     private final HttpServer readiness;
 
-    /** Whether the process is stopping. */
+    /** Whether the shutdown has begun. */
     private boolean stopping;
 
     /**
-     * Creates a process.
+     * Creates a process that is not running yet.
      *
-     * @param path the path of the settings file
+     * @param path the path of the settings file, which is read again on SIGHUP
      * @param settings the settings
      */
     public NodeProcess(Path path, PlatformSettings settings) {
@@ -170,7 +174,8 @@
     }
 
     /**
-     * Runs the process until it is told to stop.
+     * Runs the event loop on the current thread. After SIGTERM and an orderly shutdown, the JVM
+     * exits with code 0.
      *
      * @throws DamasktillerException with code BAD_SETTING if an address can't be listened on
      */
@@ -209,9 +214,9 @@
     }
 
     /**
-     * Makes the client of the advice service.
+     * Creates the client of the advice service.
      *
-     * @return the client
+     * @return the client, or {@link AdviceCalls#NONE} if the settings have no address
      */
     private AdviceCalls advice() {
         InetSocketAddress address = settings.adviceAddress();
@@ -221,10 +226,10 @@
     }
 
     /**
-     * Makes a server.
+     * Creates an HTTP server that does not listen yet.
      *
-     * @param handler handles its requests
-     * @param address where it listens
+     * @param handler handles the requests
+     * @param address the address to listen on
      * @return the server
      */
     private HttpServer server(AsyncServlet handler, InetSocketAddress address) {
@@ -236,7 +241,7 @@
     }
 
     /**
-     * Answers the load balancer, and whoever asks for the metrics.
+     * Serves the metrics on their path and the readiness check on all other paths.
      *
      * @param request the request
      * @return the response
@@ -249,15 +254,19 @@
     }
 
     /**
-     * Tells whether the process takes callers: it can accept submissions.
+     * Tells whether the process can accept submissions: it is not shutting down, has a manifest,
+     * and the store is reachable.
      *
-     * @return whether it does
+     * @return whether the process is ready for callers
      */
     private boolean ready() {
         return !stopping && manifest.current() != null && cluster.storeReachable();
     }
 
-    /** Reads the settings file again; what is read at the start only needs a restart to change. */
+    /**
+     * Reads the settings file again and logs whether it is valid and has changed. Changes take
+     * effect after a restart.
+     */
     private void reload() {
         try {
             PlatformSettings read = SettingsReader.read(path);
@@ -267,7 +276,10 @@
         }
     }
 
-    /** Stops: hands the cells over, waits for the load balancer and the requests in flight. */
+    /**
+     * Starts the shutdown: gives up all cells, reports the process as not ready, and lets the load
+     * balancer direct callers to other VMs before the server for callers is closed.
+     */
     private void stop() {
         if (stopping) {
             return;
@@ -282,9 +294,10 @@
     }
 
     /**
-     * Ends the process once no request is in flight.
+     * Stops listening for callers and exits once no request is in flight.
      *
-     * @param latestMillis when the process ends at the latest, in milliseconds
+     * @param latestMillis when to exit even with requests in flight, on the monotonic clock, in
+     *     milliseconds
      */
     private void finish(long latestMillis) {
         callers.close();
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/ProcessSignals.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/ProcessSignals.java
@@ -5,25 +5,25 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles signals of the operating system. The runtime's own class for it is no part of the Java
- * API, so that it is reached by reflection; without a handler the runtime would end on SIGHUP.
+ * Installs handlers for signals of the operating system. The JDK's signal classes are not part of
+ * the Java API and are therefore called by reflection. Without a handler, the JVM exits on SIGHUP.
  */
 final class ProcessSignals {
 
-    /** The runtime's class of signals. */
+    /** The JDK's class of a signal. */
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
 
-    /** The runtime's interface of handlers. */
+    /** The JDK's interface of a signal handler. */
     private static final String HANDLER_CLASS = "sun.misc.SignalHandler";
 
     /** Prevents instantiation. */
     private ProcessSignals() {}
 
     /**
-     * Runs an action on each signal of a kind, on a thread of the runtime.
+     * Installs a handler that runs an action, on a thread of the JVM, each time a signal arrives.
      *
-     * @param name the name of the signal without its prefix, such as TERM
-     * @param action the action
+     * @param name the name of the signal without the prefix SIG, such as TERM
+     * @param action the action, which must be thread-safe
      */
     static void handle(String name, Runnable action) {
         try {
@@ -39,18 +39,19 @@
                     .getMethod("handle", signalClass, handlerClass)
                     .invoke(null, signal, handler);
         } catch (ReflectiveOperationException exception) {
-            throw new IllegalStateException("signal " + name + " can't be handled", exception);
+            throw new IllegalStateException(
+                    "can't install a handler for signal " + name, exception);
         }
     }
 
     /**
-     * Answers a call of the handler.
+     * Handles a method call on the proxy that stands for the signal handler.
      *
-     * @param proxy the handler
-     * @param method the method called
-     * @param arguments its arguments
-     * @param action the action
-     * @return the result
+     * @param proxy the proxy
+     * @param method the called method
+     * @param arguments the arguments of the call
+     * @param action the action to run for a signal
+     * @return the result of the called method
      * @throws InvocationTargetException never
      */
     private static Object call(Object proxy, Method method, Object[] arguments, Runnable action)
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/package-info.java
@@ -1,4 +1,4 @@
-/** The process of an entry VM: command line, start, signals and stop. */
+/** The process of an entry VM: command line, startup, signal handling and shutdown. */
 @NullMarked
 package org.damasktiller.node.process;
 
--- a/damasktiller-node/src/test/java/org/damasktiller/node/log/JsonLineLogTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/log/JsonLineLogTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Tests the bounds of the log. */
+/** Tests the rate limit of the log and the form of its lines. */
 final class JsonLineLogTest {
 
     @Test
@@ -33,16 +33,16 @@
         assertThat(text, containsString("\"node\":\"node-1\""));
     }
 
-    /** Keeps what is written and tells when a text was. */
+    /** Collects the output and signals when it contains a given text. */
     private static final class Written extends OutputStream {
 
-        /** What was written. */
+        /** The output so far. */
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
         /** The text to wait for. */
         private final String wanted;
 
-        /** Open once the text was written. */
+        /** Counted down once the output contains the text. */
         private final CountDownLatch found = new CountDownLatch(1);
 
         /**
@@ -67,9 +67,9 @@
         }
 
         /**
-         * Returns what was written.
+         * Returns the output so far.
          *
-         * @return the text
+         * @return the output, decoded from UTF-8
          */
         synchronized String text() {
             return bytes.toString(StandardCharsets.UTF_8);
--- a/damasktiller-node/src/test/java/org/damasktiller/node/metrics/EventMetricsTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/metrics/EventMetricsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests the counters and histograms made of logged decisions. */
+/** Tests the counters and histograms that are derived from log events. */
 final class EventMetricsTest {
 
     @Test
