--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerResponse.java
@@ -13,7 +13,7 @@
  *     responses after which a retry is of no use
  */
 @SuppressWarnings("ArrayRecordComponent")
-record CallerAnswer(int status, byte[] body, int retryAfterSeconds) {
+record CallerResponse(int status, byte[] body, int retryAfterSeconds) {
 
     /** The status of a request that succeeded. */
     private static final int OK = 200;
@@ -28,13 +28,13 @@
     private static final int GONE = 410;
 
     /** The status of a request whose body is too large. */
-    private static final int TOO_LARGE = 413;
+    private static final int PAYLOAD_TOO_LARGE = 413;
 
     /** The status of a request that certainly had no effect. */
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** The status of a request that may or may not have taken effect. */
-    private static final int OUTCOME_UNKNOWN = 504;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     /** The Retry-After value of responses with status 503 or 504, in seconds. */
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -44,8 +44,8 @@
      *
      * @return status 200 with the state QUEUED
      */
-    static CallerAnswer accepted() {
-        return new CallerAnswer(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
+    static CallerResponse accepted() {
+        return new CallerResponse(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
     }
 
     /**
@@ -54,8 +54,8 @@
      * @param state the state
      * @return status 200 with the state
      */
-    static CallerAnswer state(SubmissionState state) {
-        return new CallerAnswer(OK, CallerFormats.state(state), 0);
+    static CallerResponse state(SubmissionState state) {
+        return new CallerResponse(OK, CallerFormats.state(state), 0);
     }
 
     /**
@@ -64,8 +64,8 @@
      * @param count the number of submissions none of whose tasks has started
      * @return status 200 with the count
      */
-    static CallerAnswer pending(int count) {
-        return new CallerAnswer(OK, CallerFormats.pending(count), 0);
+    static CallerResponse pending(int count) {
+        return new CallerResponse(OK, CallerFormats.pending(count), 0);
     }
 
     /**
@@ -73,8 +73,8 @@
      *
      * @return status 404 with the error code UNKNOWN_KIND
      */
-    static CallerAnswer noRoute() {
-        return new CallerAnswer(
+    static CallerResponse routeNotFound() {
+        return new CallerResponse(
                 NOT_FOUND,
                 CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route matches the host and path"),
                 0);
@@ -85,8 +85,8 @@
      *
      * @return status 410 with the error code UNKNOWN_JOB
      */
-    static CallerAnswer unknownSubmission() {
-        return new CallerAnswer(
+    static CallerResponse unknownSubmission() {
+        return new CallerResponse(
                 GONE,
                 CallerFormats.error(
                         ErrorCode.UNKNOWN_JOB, "no submission with this identifier is stored"),
@@ -99,23 +99,23 @@
      * @param message what is wrong with the request
      * @return status 400 with the error code BAD_REQUEST
      */
-    static CallerAnswer malformed(String message) {
-        return new CallerAnswer(
+    static CallerResponse malformed(String message) {
+        return new CallerResponse(
                 BAD_REQUEST, CallerFormats.error(ErrorCode.BAD_REQUEST, message), 0);
     }
 
     /**
      * Creates the response to a request whose body is too large.
      *
-     * @param limit the maximum size of a body, in bytes
+     * @param limitBytes the maximum size of a body, in bytes
      * @return status 413 with the error code BODY_TOO_LARGE
      */
-    static CallerAnswer tooLarge(int limit) {
-        return new CallerAnswer(
-                TOO_LARGE,
+    static CallerResponse bodyTooLarge(int limitBytes) {
+        return new CallerResponse(
+                PAYLOAD_TOO_LARGE,
                 CallerFormats.error(
                         ErrorCode.BODY_TOO_LARGE,
-                        "the body exceeds the limit of " + limit + " bytes"),
+                        "the body exceeds the limit of " + limitBytes + " bytes"),
                 0);
     }
 
@@ -126,9 +126,9 @@
      * @param message why the request failed
      * @return status 503 with the error code STORE_UNAVAILABLE and a Retry-After header
      */
-    static CallerAnswer notCarriedOut(String message) {
-        return new CallerAnswer(
-                UNAVAILABLE,
+    static CallerResponse notExecuted(String message) {
+        return new CallerResponse(
+                SERVICE_UNAVAILABLE,
                 CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
@@ -139,9 +139,9 @@
      * @param message why the outcome is unknown
      * @return status 504 with the error code STORE_UNAVAILABLE and a Retry-After header
      */
-    static CallerAnswer outcomeUnknown(String message) {
-        return new CallerAnswer(
-                OUTCOME_UNKNOWN,
+    static CallerResponse outcomeUnknown(String message) {
+        return new CallerResponse(
+                GATEWAY_TIMEOUT,
                 CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -28,10 +28,10 @@
 public final class CallerServlet implements AsyncServlet {
 
     /** The timeout of a request without a valid deadline header, in milliseconds. */
-    private static final long DEFAULT_DEADLINE_MILLIS = 3_000;
+    private static final long DEFAULT_TIMEOUT_MILLIS = 3_000;
 
     /** Matches a valid submission identifier. */
-    private static final Pattern IDENTIFIER = Pattern.compile("[0-9a-fA-F]{16}");
+    private static final Pattern IDENTIFIER_PATTERN = Pattern.compile("[0-9a-fA-F]{16}");
 
     /** Returns the current manifest, or null before the first one has been read. */
     private final Supplier<@Nullable Manifest> manifest;
@@ -40,10 +40,10 @@
     private final SubmissionAcceptor acceptor;
 
     /** Handles state queries and cancellations. */
-    private final SubmissionQuestions questions;
+    private final SubmissionStateHandler stateHandler;
 
     /** Provides the pending count of each route. */
-    private final Cluster cluster;
+    private final Cluster clusterMember;
 
     /** The clock from which deadlines are computed. */
     private final ProcessRuntime runtime;
@@ -52,39 +52,39 @@
     private final DecisionLog log;
 
     /** Whether each connection is closed after its next response. */
-    private boolean closing;
+    private boolean closeAfterResponse;
 
     /** The number of requests without a response so far. */
-    private int inFlight;
+    private int requestsInFlight;
 
     /**
      * Creates a servlet.
      *
      * @param manifest returns the current manifest, or null before the first one has been read
      * @param acceptor stores new submissions
-     * @param questions handles state queries and cancellations
-     * @param cluster provides the pending count of each route
+     * @param stateHandler handles state queries and cancellations
+     * @param clusterMember provides the pending count of each route
      * @param runtime the clock from which deadlines are computed
      * @param log the log
      */
     public CallerServlet(
             Supplier<@Nullable Manifest> manifest,
             SubmissionAcceptor acceptor,
-            SubmissionQuestions questions,
-            Cluster cluster,
+            SubmissionStateHandler stateHandler,
+            Cluster clusterMember,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.manifest = manifest;
         this.acceptor = acceptor;
-        this.questions = questions;
-        this.cluster = cluster;
+        this.stateHandler = stateHandler;
+        this.clusterMember = clusterMember;
         this.runtime = runtime;
         this.log = log;
     }
 
     /** Closes each connection after its next response, so that callers reconnect to another VM. */
     public void closeConnections() {
-        closing = true;
+        closeAfterResponse = true;
     }
 
     /**
@@ -92,14 +92,16 @@
      *
      * @return the number of requests in flight
      */
-    public int inFlight() {
-        return inFlight;
+    public int requestsInFlight() {
+        return requestsInFlight;
     }
 
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
-        inFlight++;
-        return handle(request).whenComplete((response, error) -> inFlight--).map(this::render);
+        requestsInFlight++;
+        return handle(request)
+                .whenComplete((response, error) -> requestsInFlight--)
+                .map(this::render);
     }
 
     /**
@@ -108,13 +110,13 @@
      * @param request the request
      * @return the response
      */
-    private Promise<CallerAnswer> handle(HttpRequest request) {
-        Manifest inForce = manifest.get();
-        if (inForce == null) {
-            return Promise.of(CallerAnswer.notCarriedOut("no manifest has been read yet"));
+    private Promise<CallerResponse> handle(HttpRequest request) {
+        Manifest currentManifest = manifest.get();
+        if (currentManifest == null) {
+            return Promise.of(CallerResponse.notExecuted("no manifest has been read yet"));
         }
         String path = request.getPath();
-        Route route = inForce.route(host(request), path);
+        Route route = currentManifest.route(host(request), path);
         if (route == null) {
             log.log(
                     "route.missing",
@@ -123,23 +125,24 @@
                     "host",
                     host(request),
                     "manifest",
-                    inForce.version());
-            return Promise.of(CallerAnswer.noRoute());
+                    currentManifest.version());
+            return Promise.of(CallerResponse.routeNotFound());
         }
         String id = path.substring(route.pathPrefix().length());
         if (id.isEmpty() && request.getMethod() == HttpMethod.GET) {
-            return Promise.of(CallerAnswer.pending(cluster.pending(route.name())));
+            return Promise.of(CallerResponse.pending(clusterMember.pending(route.name())));
         }
-        if (!IDENTIFIER.matcher(id).matches()) {
+        if (!IDENTIFIER_PATTERN.matcher(id).matches()) {
             return Promise.of(
-                    CallerAnswer.malformed("the identifier must have 16 hexadecimal digits"));
+                    CallerResponse.malformed("the identifier must have 16 hexadecimal digits"));
         }
-        CallerRequest call = new CallerRequest(id, route, inForce.version(), deadline(request));
+        CallerRequest callerRequest =
+                new CallerRequest(id, route, currentManifest.version(), deadlineMillis(request));
         return switch (request.getMethod()) {
-            case POST -> submit(request, call, inForce.limits().bodyBytes());
-            case GET -> promise(answer -> questions.state(call, answer));
-            case DELETE -> promise(answer -> questions.cancel(call, answer));
-            default -> Promise.of(CallerAnswer.malformed("the HTTP method is not supported"));
+            case POST -> submit(request, callerRequest, currentManifest.limits().bodyBytes());
+            case GET -> promise(callback -> stateHandler.queryState(callerRequest, callback));
+            case DELETE -> promise(callback -> stateHandler.cancel(callerRequest, callback));
+            default -> Promise.of(CallerResponse.malformed("the HTTP method is not supported"));
         };
     }
 
@@ -147,46 +150,47 @@
      * Loads the body of a submission and accepts it.
      *
      * @param request the HTTP request, whose body has not been loaded
-     * @param call the same request after routing
-     * @param limit the maximum size of a body, in bytes
+     * @param callerRequest the same request after routing
+     * @param maxBodyBytes the maximum size of a body, in bytes
      * @return the response; a body that can't be loaded is reported as too large
      */
-    private Promise<CallerAnswer> submit(HttpRequest request, CallerRequest call, int limit) {
-        return request.loadBody(limit)
+    private Promise<CallerResponse> submit(
+            HttpRequest request, CallerRequest callerRequest, int maxBodyBytes) {
+        return request.loadBody(maxBodyBytes)
                 .then(
                         buffer -> {
                             byte[] body = buffer.getArray();
-                            return body.length > limit
-                                    ? Promise.of(CallerAnswer.tooLarge(limit))
-                                    : accept(call, body);
+                            return body.length > maxBodyBytes
+                                    ? Promise.of(CallerResponse.bodyTooLarge(maxBodyBytes))
+                                    : accept(callerRequest, body);
                         },
                         error -> {
-                            log.log("body.unreadable", "id", call.id(), "error", error);
-                            return Promise.of(CallerAnswer.tooLarge(limit));
+                            log.log("body.unreadable", "id", callerRequest.id(), "error", error);
+                            return Promise.of(CallerResponse.bodyTooLarge(maxBodyBytes));
                         });
     }
 
     /**
      * Parses a submission and passes it to the acceptor.
      *
-     * @param call the request
+     * @param callerRequest the request
      * @param body the JSON body
      * @return the response
      */
-    private Promise<CallerAnswer> accept(CallerRequest call, byte[] body) {
+    private Promise<CallerResponse> accept(CallerRequest callerRequest, byte[] body) {
         Submission submission;
         try {
-            submission = CallerFormats.submission(call.id(), body);
+            submission = CallerFormats.submission(callerRequest.id(), body);
         } catch (DamasktillerException exception) {
             log.log(
                     "submission.malformed",
                     "id",
-                    call.id(),
+                    callerRequest.id(),
                     "reason",
                     String.valueOf(exception.getMessage()));
-            return Promise.of(CallerAnswer.malformed(String.valueOf(exception.getMessage())));
+            return Promise.of(CallerResponse.malformed(String.valueOf(exception.getMessage())));
         }
-        return promise(answer -> acceptor.accept(call, submission, answer));
+        return promise(callback -> acceptor.accept(callerRequest, submission, callback));
     }
 
     /**
@@ -195,8 +199,8 @@
      * @param action starts the operation; its argument is the callback for the response
      * @return a promise that completes when the callback is called
      */
-    private static Promise<CallerAnswer> promise(Consumer<Consumer<CallerAnswer>> action) {
-        SettablePromise<CallerAnswer> promise = new SettablePromise<>();
+    private static Promise<CallerResponse> promise(Consumer<Consumer<CallerResponse>> action) {
+        SettablePromise<CallerResponse> promise = new SettablePromise<>();
         action.accept(promise::set);
         return promise;
     }
@@ -204,19 +208,19 @@
     /**
      * Converts a response to its HTTP form.
      *
-     * @param answer the response
+     * @param response the response
      * @return the HTTP response
      */
-    private HttpResponse render(CallerAnswer answer) {
+    private HttpResponse render(CallerResponse response) {
         HttpResponse.Builder builder =
-                HttpResponse.ofCode(answer.status())
+                HttpResponse.ofCode(response.status())
                         .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
-                        .withBody(answer.body());
-        if (answer.retryAfterSeconds() > 0) {
+                        .withBody(response.body());
+        if (response.retryAfterSeconds() > 0) {
             builder.withHeader(
-                    HttpHeaders.RETRY_AFTER, Integer.toString(answer.retryAfterSeconds()));
+                    HttpHeaders.RETRY_AFTER, Integer.toString(response.retryAfterSeconds()));
         }
-        if (closing) {
+        if (closeAfterResponse) {
             builder.withHeader(HttpHeaders.CONNECTION, "close");
         }
         return builder.build();
@@ -229,13 +233,13 @@
      * @param request the request
      * @return the deadline on the monotonic clock, in milliseconds
      */
-    private long deadline(HttpRequest request) {
+    private long deadlineMillis(HttpRequest request) {
         String header = request.getHeader(CallerFormats.DEADLINE);
-        long wait = DEFAULT_DEADLINE_MILLIS;
+        long timeoutMillis = DEFAULT_TIMEOUT_MILLIS;
         if (header != null && header.matches("\\d{1,9}")) {
-            wait = Long.parseLong(header);
+            timeoutMillis = Long.parseLong(header);
         }
-        return runtime.nowMillis() + wait;
+        return runtime.nowMillis() + timeoutMillis;
     }
 
     /**
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -26,23 +26,23 @@
 public final class SubmissionAcceptor {
 
     /** The delay before a failed write is retried, in milliseconds. */
-    private static final long RETRY_MILLIS = 80;
+    private static final long RETRY_DELAY_MILLIS = 80;
 
     /**
      * How long writes that the store refuses are retried, in milliseconds: about as long as a
      * caller waits before its own retry.
      */
-    private static final long REFUSAL_MILLIS = 700;
+    private static final long REFUSAL_TIMEOUT_MILLIS = 700;
 
     /**
      * How long writes without a response from the store are retried, in milliseconds: 1.5 times the
      * timeout of a call to the store. A caller that gets a response this early can still try
      * another VM, which may reach the store.
      */
-    private static final long SILENCE_MILLIS = 1_500;
+    private static final long NO_RESPONSE_TIMEOUT_MILLIS = 1_500;
 
     /** How long before the caller's deadline the response is sent, in milliseconds. */
-    private static final long MARGIN_MILLIS = 150;
+    private static final long DEADLINE_MARGIN_MILLIS = 150;
 
     /** The store. */
     private final MetadataStore store;
@@ -86,14 +86,14 @@
      *
      * @param request the request
      * @param submission the submission to store
-     * @param answer the callback for the response, called exactly once
+     * @param callback the callback for the response, called exactly once
      */
-    void accept(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
-        new Attempt(request, submission, answer).start();
+    void accept(CallerRequest request, Submission submission, Consumer<CallerResponse> callback) {
+        new RetryingWrite(request, submission, callback).start();
     }
 
     /** Writes one submission and retries until it is stored or the time is up. */
-    private final class Attempt {
+    private final class RetryingWrite {
 
         /** The request. */
         private final CallerRequest request;
@@ -105,28 +105,29 @@
         private final Commit commit;
 
         /** The callback for the response. */
-        private final Consumer<CallerAnswer> answer;
+        private final Consumer<CallerResponse> callback;
 
         /** When the request arrived, on the monotonic clock, in milliseconds. */
-        private final long beganMillis;
+        private final long startMillis;
 
         /** Whether the store did not respond to some write, which it may still apply. */
         private boolean uncertain;
 
         /** Whether the response has been sent to the caller. */
-        private boolean answered;
+        private boolean responded;
 
         /**
          * Creates the transaction without sending it.
          *
          * @param request the request
          * @param submission the submission to store
-         * @param answer the callback for the response
+         * @param callback the callback for the response
          */
-        Attempt(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
+        RetryingWrite(
+                CallerRequest request, Submission submission, Consumer<CallerResponse> callback) {
             this.request = request;
-            this.answer = answer;
-            this.beganMillis = runtime.nowMillis();
+            this.callback = callback;
+            this.startMillis = runtime.nowMillis();
             String service = request.route().service();
             this.cell = layout.cellOf(service, zone);
             long unixMillis = runtime.unixMillis();
@@ -147,24 +148,25 @@
 
         /** Sends the transaction and schedules the response for the case that it takes too long. */
         void start() {
-            long latest =
+            long responseDueMillis =
                     Math.min(
-                            request.deadlineMillis() - MARGIN_MILLIS, beganMillis + SILENCE_MILLIS);
+                            request.deadlineMillis() - DEADLINE_MARGIN_MILLIS,
+                            startMillis + NO_RESPONSE_TIMEOUT_MILLIS);
             runtime.schedule(
-                    Math.max(0, latest - beganMillis),
+                    Math.max(0, responseDueMillis - startMillis),
                     () -> {
                         uncertain = true;
-                        finish(
+                        respond(
                                 StoreStatus.UNKNOWN,
-                                CallerAnswer.outcomeUnknown("the store did not respond in time"));
+                                CallerResponse.outcomeUnknown("the store did not respond in time"));
                     });
             send();
         }
 
         /** Sends the transaction, unless the caller already has a response. */
         private void send() {
-            if (!answered) {
-                store.commit(commit, this::onResult);
+            if (!responded) {
+                store.commit(commit, this::onCommitResult);
             }
         }
 
@@ -174,14 +176,14 @@
          *
          * @param result the store's response
          */
-        private void onResult(StoreResult<CommitReply> result) {
+        private void onCommitResult(StoreResult<CommitReply> result) {
             switch (result.status()) {
-                case OK, CONFLICT -> finish(result.status(), CallerAnswer.accepted());
+                case OK, CONFLICT -> respond(result.status(), CallerResponse.accepted());
                 case UNKNOWN -> {
                     uncertain = true;
-                    again(result);
+                    retryOrRespond(result);
                 }
-                default -> again(result);
+                default -> retryOrRespond(result);
             }
         }
 
@@ -190,9 +192,10 @@
          *
          * @return the time on the monotonic clock, in milliseconds
          */
-        private long latestRetry() {
-            long patience = uncertain ? SILENCE_MILLIS : REFUSAL_MILLIS;
-            return Math.min(request.deadlineMillis() - MARGIN_MILLIS, beganMillis + patience);
+        private long retryDeadlineMillis() {
+            long timeoutMillis = uncertain ? NO_RESPONSE_TIMEOUT_MILLIS : REFUSAL_TIMEOUT_MILLIS;
+            return Math.min(
+                    request.deadlineMillis() - DEADLINE_MARGIN_MILLIS, startMillis + timeoutMillis);
         }
 
         /**
@@ -200,17 +203,17 @@
          *
          * @param result the store's response to the write that failed
          */
-        private void again(StoreResult<CommitReply> result) {
-            if (runtime.nowMillis() + RETRY_MILLIS < latestRetry()) {
-                runtime.schedule(RETRY_MILLIS, this::send);
+        private void retryOrRespond(StoreResult<CommitReply> result) {
+            if (runtime.nowMillis() + RETRY_DELAY_MILLIS < retryDeadlineMillis()) {
+                runtime.schedule(RETRY_DELAY_MILLIS, this::send);
             } else if (uncertain) {
-                finish(
+                respond(
                         result.status(),
-                        CallerAnswer.outcomeUnknown("the store did not respond in time"));
+                        CallerResponse.outcomeUnknown("the store did not respond in time"));
             } else {
-                finish(
+                respond(
                         result.status(),
-                        CallerAnswer.notCarriedOut("the store refused the submission"));
+                        CallerResponse.notExecuted("the store refused the submission"));
             }
         }
 
@@ -218,13 +221,13 @@
          * Sends the response and logs it; later calls have no effect.
          *
          * @param status the result of the last write
-         * @param outcome the response
+         * @param response the response
          */
-        private void finish(StoreStatus status, CallerAnswer outcome) {
-            if (answered) {
+        private void respond(StoreStatus status, CallerResponse response) {
+            if (responded) {
                 return;
             }
-            answered = true;
+            responded = true;
             log.log(
                     "submission.answered",
                     "id",
@@ -240,10 +243,10 @@
                     "uncertain",
                     uncertain,
                     "status",
-                    outcome.status(),
+                    response.status(),
                     "millis",
-                    runtime.nowMillis() - beganMillis);
-            answer.accept(outcome);
+                    runtime.nowMillis() - startMillis);
+            callback.accept(response);
         }
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
@@ -21,25 +21,25 @@
  * after a linearizable read. A cancellation is one transaction, on the condition that the record
  * has not changed since it was read.
  */
-public final class SubmissionQuestions {
+public final class SubmissionStateHandler {
 
     /** The delay before a failed call to the store is retried, in milliseconds. */
-    private static final long RETRY_MILLIS = 80;
+    private static final long RETRY_DELAY_MILLIS = 80;
 
     /**
      * How long to wait for the store before the outcome is reported as unknown, in milliseconds:
      * 1.5 times the timeout of a call to the store.
      */
-    private static final long SILENCE_MILLIS = 1_500;
+    private static final long NO_RESPONSE_TIMEOUT_MILLIS = 1_500;
 
     /** How long before the caller's deadline the response is sent, in milliseconds. */
-    private static final long MARGIN_MILLIS = 150;
+    private static final long DEADLINE_MARGIN_MILLIS = 150;
 
     /** The store. */
     private final MetadataStore store;
 
     /** Knows the current states of submissions in the cells that this process owns. */
-    private final Cluster cluster;
+    private final Cluster clusterMember;
 
     /** The clock and the timers. */
     private final ProcessRuntime runtime;
@@ -51,14 +51,15 @@
      * Creates a handler.
      *
      * @param store the store
-     * @param cluster knows the current states of submissions in the cells that this process owns
+     * @param clusterMember knows the current states of submissions in the cells that this process
+     *     owns
      * @param runtime the clock and the timers
      * @param log the log
      */
-    public SubmissionQuestions(
-            MetadataStore store, Cluster cluster, ProcessRuntime runtime, DecisionLog log) {
+    public SubmissionStateHandler(
+            MetadataStore store, Cluster clusterMember, ProcessRuntime runtime, DecisionLog log) {
         this.store = store;
-        this.cluster = cluster;
+        this.clusterMember = clusterMember;
         this.runtime = runtime;
         this.log = log;
     }
@@ -67,10 +68,10 @@
      * Responds with the state of a submission.
      *
      * @param request the request
-     * @param answer the callback for the response, called exactly once
+     * @param callback the callback for the response, called exactly once
      */
-    void state(CallerRequest request, Consumer<CallerAnswer> answer) {
-        read(request, false, bounded(request, false, answer));
+    void queryState(CallerRequest request, Consumer<CallerResponse> callback) {
+        readRecord(request, false, withTimeout(request, false, callback));
     }
 
     /**
@@ -78,10 +79,10 @@
      * submission has already ended.
      *
      * @param request the request
-     * @param answer the callback for the response, called exactly once
+     * @param callback the callback for the response, called exactly once
      */
-    void cancel(CallerRequest request, Consumer<CallerAnswer> answer) {
-        read(request, true, bounded(request, true, answer));
+    void cancel(CallerRequest request, Consumer<CallerResponse> callback) {
+        readRecord(request, true, withTimeout(request, true, callback));
     }
 
     /**
@@ -90,27 +91,29 @@
      *
      * @param request the request
      * @param cancel whether the request is a cancellation
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      * @return a callback that passes on the first response and drops later ones
      */
-    private Consumer<CallerAnswer> bounded(
-            CallerRequest request, boolean cancel, Consumer<CallerAnswer> answer) {
-        boolean[] answered = new boolean[1];
-        Consumer<CallerAnswer> once =
-                outcome -> {
-                    if (!answered[0]) {
-                        answered[0] = true;
-                        log(request, cancel, outcome);
-                        answer.accept(outcome);
+    private Consumer<CallerResponse> withTimeout(
+            CallerRequest request, boolean cancel, Consumer<CallerResponse> callback) {
+        boolean[] responded = new boolean[1];
+        Consumer<CallerResponse> respondOnce =
+                response -> {
+                    if (!responded[0]) {
+                        responded[0] = true;
+                        log(request, cancel, response);
+                        callback.accept(response);
                     }
                 };
-        long left = request.deadlineMillis() - MARGIN_MILLIS - runtime.nowMillis();
+        long remainingMillis =
+                request.deadlineMillis() - DEADLINE_MARGIN_MILLIS - runtime.nowMillis();
         runtime.schedule(
-                Math.max(0, Math.min(left, SILENCE_MILLIS)),
+                Math.max(0, Math.min(remainingMillis, NO_RESPONSE_TIMEOUT_MILLIS)),
                 () ->
-                        once.accept(
-                                CallerAnswer.outcomeUnknown("the store did not respond in time")));
-        return once;
+                        respondOnce.accept(
+                                CallerResponse.outcomeUnknown(
+                                        "the store did not respond in time")));
+        return respondOnce;
     }
 
     /**
@@ -118,12 +121,13 @@
      *
      * @param request the request
      * @param cancel whether the request is a cancellation
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      */
-    private void read(CallerRequest request, boolean cancel, Consumer<CallerAnswer> answer) {
+    private void readRecord(
+            CallerRequest request, boolean cancel, Consumer<CallerResponse> callback) {
         store.read(
                 CellKeys.submission(request.id()),
-                result -> onRecord(request, cancel, answer, result));
+                result -> onRecord(request, cancel, callback, result));
     }
 
     /**
@@ -131,27 +135,27 @@
      *
      * @param request the request
      * @param cancel whether the request is a cancellation
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      * @param result the result of the read
      */
     private void onRecord(
             CallerRequest request,
             boolean cancel,
-            Consumer<CallerAnswer> answer,
+            Consumer<CallerResponse> callback,
             StoreResult<StoreReading> result) {
         if (result.status() == StoreStatus.ABSENT) {
-            answer.accept(CallerAnswer.unknownSubmission());
+            callback.accept(CallerResponse.unknownSubmission());
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         SubmissionRecord record =
                 item == null ? null : StoredValues.read(item.value(), SubmissionRecord.class);
         if (item == null || record == null) {
-            again(request, cancel, answer, result.status());
+            retryOrRespond(request, cancel, callback, result.status());
         } else if (record.state().isFinal() || !cancel) {
-            answer.accept(CallerAnswer.state(present(request, record)));
+            callback.accept(CallerResponse.state(reportedState(request, record)));
         } else {
-            write(request, answer, record, item.revision());
+            writeCancellation(request, callback, record, item.revision());
         }
     }
 
@@ -164,28 +168,28 @@
      * @return the state; RUNNING if another process owns the cell, if the owner does not know the
      *     submission, or if the owner has seen the end but has not stored it
      */
-    private SubmissionState present(CallerRequest request, SubmissionRecord record) {
+    private SubmissionState reportedState(CallerRequest request, SubmissionRecord record) {
         if (record.state().isFinal()) {
             return record.state();
         }
-        SubmissionState known = cluster.state(record.cell(), request.id());
-        return known == null || known.isFinal() ? SubmissionState.RUNNING : known;
+        SubmissionState ownerState = clusterMember.state(record.cell(), request.id());
+        return ownerState == null || ownerState.isFinal() ? SubmissionState.RUNNING : ownerState;
     }
 
     /**
      * Stores a cancellation.
      *
      * @param request the request
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      * @param record the stored record
      * @param revision the revision of the record, which must not have changed
      */
-    private void write(
+    private void writeCancellation(
             CallerRequest request,
-            Consumer<CallerAnswer> answer,
+            Consumer<CallerResponse> callback,
             SubmissionRecord record,
             long revision) {
-        SubmissionRecord cancelled =
+        SubmissionRecord cancelledRecord =
                 new SubmissionRecord(
                         record.cell(),
                         record.route(),
@@ -194,24 +198,26 @@
         Commit commit =
                 new Commit()
                         .expect(CellKeys.submission(request.id()), revision)
-                        .put(CellKeys.submission(request.id()), StoredValues.write(cancelled))
+                        .put(CellKeys.submission(request.id()), StoredValues.write(cancelledRecord))
                         .remove(CellKeys.inbox(record.cell()) + request.id());
-        store.commit(commit, result -> onCancelled(request, answer, result));
+        store.commit(commit, result -> onCancellationResult(request, callback, result));
     }
 
     /**
      * Handles the result of a cancellation.
      *
      * @param request the request
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      * @param result the store's response
      */
-    private void onCancelled(
-            CallerRequest request, Consumer<CallerAnswer> answer, StoreResult<CommitReply> result) {
+    private void onCancellationResult(
+            CallerRequest request,
+            Consumer<CallerResponse> callback,
+            StoreResult<CommitReply> result) {
         if (result.status() == StoreStatus.OK) {
-            answer.accept(CallerAnswer.state(SubmissionState.CANCELLED));
+            callback.accept(CallerResponse.state(SubmissionState.CANCELLED));
         } else {
-            again(request, true, answer, result.status());
+            retryOrRespond(request, true, callback, result.status());
         }
     }
 
@@ -221,19 +227,20 @@
      *
      * @param request the request
      * @param cancel whether the request is a cancellation
-     * @param answer the callback for the response
+     * @param callback the callback for the response
      * @param status the result of the last call to the store
      */
-    private void again(
+    private void retryOrRespond(
             CallerRequest request,
             boolean cancel,
-            Consumer<CallerAnswer> answer,
+            Consumer<CallerResponse> callback,
             StoreStatus status) {
-        if (runtime.nowMillis() + RETRY_MILLIS < request.deadlineMillis() - MARGIN_MILLIS) {
-            runtime.schedule(RETRY_MILLIS, () -> read(request, cancel, answer));
+        if (runtime.nowMillis() + RETRY_DELAY_MILLIS
+                < request.deadlineMillis() - DEADLINE_MARGIN_MILLIS) {
+            runtime.schedule(RETRY_DELAY_MILLIS, () -> readRecord(request, cancel, callback));
         } else {
-            answer.accept(
-                    CallerAnswer.outcomeUnknown(
+            callback.accept(
+                    CallerResponse.outcomeUnknown(
                             "the call to the store failed with status " + status));
         }
     }
@@ -243,10 +250,10 @@
      *
      * @param request the request
      * @param cancel whether the request is a cancellation
-     * @param outcome the response
+     * @param response the response
      */
-    private void log(CallerRequest request, boolean cancel, CallerAnswer outcome) {
-        if (cancel || outcome.retryAfterSeconds() > 0) {
+    private void log(CallerRequest request, boolean cancel, CallerResponse response) {
+        if (cancel || response.retryAfterSeconds() > 0) {
             log.log(
                     cancel ? "cancel.answered" : "question.failed",
                     "id",
@@ -254,7 +261,7 @@
                     "route",
                     request.route().name(),
                     "status",
-                    outcome.status());
+                    response.status());
         }
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -17,7 +17,7 @@
 import org.damasktiller.error.Step;
 import org.damasktiller.node.caller.CallerServlet;
 import org.damasktiller.node.caller.SubmissionAcceptor;
-import org.damasktiller.node.caller.SubmissionQuestions;
+import org.damasktiller.node.caller.SubmissionStateHandler;
 import org.damasktiller.node.cluster.Cluster;
 import org.damasktiller.node.cluster.ManifestFollower;
 import org.damasktiller.node.cluster.NodeIdentity;
@@ -165,7 +165,7 @@
                 new CallerServlet(
                         manifest::current,
                         new SubmissionAcceptor(store, layout, settings.zone(), runtime, log),
-                        new SubmissionQuestions(store, cluster, runtime, log),
+                        new SubmissionStateHandler(store, cluster, runtime, log),
                         cluster,
                         runtime,
                         log);
@@ -285,7 +285,7 @@
             return;
         }
         stopping = true;
-        log.log("process.stop", "inFlight", servlet.inFlight());
+        log.log("process.stop", "inFlight", servlet.requestsInFlight());
         cluster.leave();
         servlet.closeConnections();
         long began = runtime.nowMillis();
@@ -301,11 +301,11 @@
      */
     private void finish(long latestMillis) {
         callers.close();
-        if (servlet.inFlight() > 0 && runtime.nowMillis() < latestMillis) {
+        if (servlet.requestsInFlight() > 0 && runtime.nowMillis() < latestMillis) {
             runtime.schedule(STOP_POLL_MILLIS, () -> finish(latestMillis));
             return;
         }
-        log.log("process.end", "inFlight", servlet.inFlight());
+        log.log("process.end", "inFlight", servlet.requestsInFlight());
         cluster.close();
         runtime.schedule(STOP_POLL_MILLIS, () -> System.exit(0));
     }
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -34,10 +34,10 @@
     private final StoreModel store = new StoreModel(runtime);
 
     /** The responses that the acceptor has sent. */
-    private final List<CallerAnswer> answers = new ArrayList<>();
+    private final List<CallerResponse> responses = new ArrayList<>();
 
     /** When the last response was sent, on the clock of the test, in milliseconds. */
-    private long answeredAtMillis;
+    private long respondedAtMillis;
 
     @Test
     void storedSubmissionIsAccepted() {
@@ -47,20 +47,20 @@
     }
 
     @Test
-    void repeatedSubmissionFindsTheFirst() {
+    void repeatedSubmissionIsAccepted() {
         submit(List.of());
         submit(List.of());
         assertThat(status(), equalTo(200));
     }
 
     @Test
-    void lostAnswerIsSettledByTheSecondWrite() {
+    void lostResponseIsResolvedByRetry() {
         submit(List.of(CallFate.ANSWER_LOST));
         assertThat(status(), equalTo(200));
     }
 
     @Test
-    void refusedSubmissionIsCertainlyNotStored() {
+    void refusedSubmissionIsNeverStored() {
         submit(repeat(CallFate.REFUSED));
         assertThat(status(), equalTo(503));
         runtime.advance(20_000);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void refusalsAfterAnUnansweredWriteLeaveTheOutcomeUnknown() {
+    void refusalsAfterWriteWithoutResponseLeaveOutcomeUnknown() {
         List<CallFate> fates = new ArrayList<>(repeat(CallFate.REFUSED));
         fates.set(0, CallFate.LATE);
         submit(fates);
@@ -78,10 +78,10 @@
     }
 
     @Test
-    void silentStoreIsNotWaitedForUntilTheDeadline() {
+    void unresponsiveStoreTimesOutBeforeTheDeadline() {
         submit(repeat(CallFate.LOST));
         assertThat(status(), equalTo(504));
-        assertThat(answeredAtMillis, lessThan(1_700L));
+        assertThat(respondedAtMillis, lessThan(1_700L));
     }
 
     /**
@@ -90,10 +90,15 @@
      * @param fates what happens to the first calls to the store; later calls succeed
      */
     private void submit(List<CallFate> fates) {
-        Iterator<CallFate> next = fates.iterator();
+        Iterator<CallFate> remainingFates = fates.iterator();
         StoreClient client =
                 new StoreClient(
-                        store, runtime, call -> next.hasNext() ? next.next() : CallFate.ANSWERED);
+                        store,
+                        runtime,
+                        call ->
+                                remainingFates.hasNext()
+                                        ? remainingFates.next()
+                                        : CallFate.ANSWERED);
         SubmissionAcceptor acceptor =
                 new SubmissionAcceptor(
                         client,
@@ -120,13 +125,13 @@
                         0,
                         false,
                         0);
-        answers.clear();
+        responses.clear();
         acceptor.accept(
                 new CallerRequest(ID, route, 1, runtime.nowMillis() + 3_000),
                 new Submission(ID, "", List.of(step), 0, 0, 0),
-                answer -> {
-                    answers.add(answer);
-                    answeredAtMillis = runtime.nowMillis();
+                response -> {
+                    responses.add(response);
+                    respondedAtMillis = runtime.nowMillis();
                 });
         runtime.advance(4_000);
     }
@@ -137,8 +142,8 @@
      * @return the HTTP status code
      */
     private int status() {
-        assertThat(answers.size(), equalTo(1));
-        return answers.get(0).status();
+        assertThat(responses.size(), equalTo(1));
+        return responses.get(0).status();
     }
 
     /**
