--- /dev/null
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerResponse.java
@@ -0,0 +1,148 @@
+package org.damasktiller.node.caller;
+
+import org.damasktiller.error.ErrorCode;
+import org.damasktiller.platform.ingress.CallerFormats;
+import org.damasktiller.scheduler.model.SubmissionState;
+
+/**
+ * The response to a caller's request: HTTP status, JSON body and retry advice.
+ *
+ * @param status the HTTP status code
+ * @param body the JSON body, encoded in UTF-8
+ * @param retryAfterSeconds the value of the Retry-After header, in seconds; 0 omits the header, for
+ *     responses after which a retry is of no use
+ */
+@SuppressWarnings("ArrayRecordComponent")
+record CallerResponse(int status, byte[] body, int retryAfterSeconds) {
+
+    /** The status of a request that succeeded. */
+    private static final int OK = 200;
+
+    /** The status of a malformed request. */
+    private static final int BAD_REQUEST = 400;
+
+    /** The status of a request that matches no route. */
+    private static final int NOT_FOUND = 404;
+
+    /** The status of a request for a submission that is not stored. */
+    private static final int GONE = 410;
+
+    /** The status of a request whose body is too large. */
+    private static final int PAYLOAD_TOO_LARGE = 413;
+
+    /** The status of a request that certainly had no effect. */
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    /** The status of a request that may or may not have taken effect. */
+    private static final int GATEWAY_TIMEOUT = 504;
+
+    /** The Retry-After value of responses with status 503 or 504, in seconds. */
+    private static final int RETRY_AFTER_SECONDS = 1;
+
+    /**
+     * Creates the response to an accepted submission.
+     *
+     * @return status 200 with the state QUEUED
+     */
+    static CallerResponse accepted() {
+        return new CallerResponse(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
+    }
+
+    /**
+     * Creates a response with the state of a submission.
+     *
+     * @param state the state
+     * @return status 200 with the state
+     */
+    static CallerResponse state(SubmissionState state) {
+        return new CallerResponse(OK, CallerFormats.state(state), 0);
+    }
+
+    /**
+     * Creates a response with the number of pending submissions of a route.
+     *
+     * @param count the number of submissions none of whose tasks has started
+     * @return status 200 with the count
+     */
+    static CallerResponse pending(int count) {
+        return new CallerResponse(OK, CallerFormats.pending(count), 0);
+    }
+
+    /**
+     * Creates the response to a request that matches no route.
+     *
+     * @return status 404 with the error code UNKNOWN_KIND
+     */
+    static CallerResponse routeNotFound() {
+        return new CallerResponse(
+                NOT_FOUND,
+                CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route matches the host and path"),
+                0);
+    }
+
+    /**
+     * Creates the response to a request for a submission that is not stored.
+     *
+     * @return status 410 with the error code UNKNOWN_JOB
+     */
+    static CallerResponse unknownSubmission() {
+        return new CallerResponse(
+                GONE,
+                CallerFormats.error(
+                        ErrorCode.UNKNOWN_JOB, "no submission with this identifier is stored"),
+                0);
+    }
+
+    /**
+     * Creates the response to a malformed request.
+     *
+     * @param message what is wrong with the request
+     * @return status 400 with the error code BAD_REQUEST
+     */
+    static CallerResponse malformed(String message) {
+        return new CallerResponse(
+                BAD_REQUEST, CallerFormats.error(ErrorCode.BAD_REQUEST, message), 0);
+    }
+
+    /**
+     * Creates the response to a request whose body is too large.
+     *
+     * @param limitBytes the maximum size of a body, in bytes
+     * @return status 413 with the error code BODY_TOO_LARGE
+     */
+    static CallerResponse bodyTooLarge(int limitBytes) {
+        return new CallerResponse(
+                PAYLOAD_TOO_LARGE,
+                CallerFormats.error(
+                        ErrorCode.BODY_TOO_LARGE,
+                        "the body exceeds the limit of " + limitBytes + " bytes"),
+                0);
+    }
+
+    /**
+     * Creates the response to a request that certainly had no effect, so that the caller can retry
+     * it without the risk of a second execution.
+     *
+     * @param message why the request failed
+     * @return status 503 with the error code STORE_UNAVAILABLE and a Retry-After header
+     */
+    static CallerResponse notExecuted(String message) {
+        return new CallerResponse(
+                SERVICE_UNAVAILABLE,
+                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                RETRY_AFTER_SECONDS);
+    }
+
+    /**
+     * Creates the response to a request that may or may not have taken effect.
+     *
+     * @param message why the outcome is unknown
+     * @return status 504 with the error code STORE_UNAVAILABLE and a Retry-After header
+     */
+    static CallerResponse outcomeUnknown(String message) {
+        return new CallerResponse(
+                GATEWAY_TIMEOUT,
+                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                RETRY_AFTER_SECONDS);
+    }
+}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -20,97 +20,103 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.jspecify.annotations.Nullable;
 
-/** Takes the requests of callers. */
+/**
+ * Serves the HTTP requests of callers: POST submits, GET returns the state of a submission or the
+ * number of pending submissions of a route, and DELETE cancels a submission. Runs on the thread of
+ * the event loop.
+ */
 public final class CallerServlet implements AsyncServlet {
 
-    /** How long a caller waits that does not say so, in milliseconds. */
-    private static final long DEFAULT_DEADLINE_MILLIS = 3_000;
+    /** The timeout of a request without a valid deadline header, in milliseconds. */
+    private static final long DEFAULT_TIMEOUT_MILLIS = 3_000;
 
-    /** The form of a submission's identifier. */
-    private static final Pattern IDENTIFIER = Pattern.compile("[0-9a-fA-F]{16}");
+    /** Matches a valid submission identifier. */
+    private static final Pattern IDENTIFIER_PATTERN = Pattern.compile("[0-9a-fA-F]{16}");
 
-    /** The manifest in force. */
+    /** Returns the current manifest, or null before the first one has been read. */
     private final Supplier<@Nullable Manifest> manifest;
 
-    /** Accepts submissions. */
+    /** Stores new submissions. */
     private final SubmissionAcceptor acceptor;
 
-    /** Tells states and cancels. */
-    private final SubmissionQuestions questions;
+    /** Handles state queries and cancellations. */
+    private final SubmissionStateHandler stateHandler;
 
-    /** Tells how much waits. */
-    private final Cluster cluster;
+    /** Provides the pending count of each route. */
+    private final Cluster clusterMember;
 
-    /** The clock. */
+    /** The clock from which deadlines are computed. */
     private final ProcessRuntime runtime;
 
     /** The log. */
     private final DecisionLog log;
 
-    /** Whether connections are closed after their next answer. */
-    private boolean closing;
+    /** Whether each connection is closed after its next response. */
+    private boolean closeAfterResponse;
 
-    /** The number of requests that are being answered. */
-    private int inFlight;
+    /** The number of requests without a response so far. */
+    private int requestsInFlight;
 
     /**
      * Creates a servlet.
      *
-     * @param manifest the manifest in force
-     * @param acceptor accepts submissions
-     * @param questions tells states and cancels
-     * @param cluster tells how much waits
-     * @param runtime the clock
+     * @param manifest returns the current manifest, or null before the first one has been read
+     * @param acceptor stores new submissions
+     * @param stateHandler handles state queries and cancellations
+     * @param clusterMember provides the pending count of each route
+     * @param runtime the clock from which deadlines are computed
      * @param log the log
      */
     public CallerServlet(
             Supplier<@Nullable Manifest> manifest,
             SubmissionAcceptor acceptor,
-            SubmissionQuestions questions,
-            Cluster cluster,
+            SubmissionStateHandler stateHandler,
+            Cluster clusterMember,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.manifest = manifest;
         this.acceptor = acceptor;
-        this.questions = questions;
-        this.cluster = cluster;
+        this.stateHandler = stateHandler;
+        this.clusterMember = clusterMember;
         this.runtime = runtime;
         this.log = log;
     }
 
-    /** Closes each connection after its next answer. */
+    /** Closes each connection after its next response, so that callers reconnect to another VM. */
     public void closeConnections() {
-        closing = true;
+        closeAfterResponse = true;
     }
 
     /**
-     * Returns the number of requests that are being answered.
+     * Returns the number of requests that have no response yet.
      *
-     * @return the number
+     * @return the number of requests in flight
      */
-    public int inFlight() {
-        return inFlight;
+    public int requestsInFlight() {
+        return requestsInFlight;
     }
 
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
-        inFlight++;
-        return handle(request).whenComplete((response, error) -> inFlight--).map(this::render);
+        requestsInFlight++;
+        return handle(request)
+                .whenComplete((response, error) -> requestsInFlight--)
+                .map(this::render);
     }
 
     /**
-     * Handles a request.
+     * Matches a request to a route and dispatches it by its HTTP method.
      *
      * @param request the request
-     * @return the answer
+     * @return the response
      */
-    private Promise<CallerAnswer> handle(HttpRequest request) {
-        Manifest inForce = manifest.get();
-        if (inForce == null) {
-            return Promise.of(CallerAnswer.notCarriedOut("no manifest has been read yet"));
+    private Promise<CallerResponse> handle(HttpRequest request) {
+        Manifest currentManifest = manifest.get();
+        if (currentManifest == null) {
+            return Promise.of(CallerResponse.notExecuted("no manifest has been read yet"));
         }
         String path = request.getPath();
-        Route route = inForce.findRoute(host(request), path);
+        Route route = currentManifest.findRoute(host(request), path);
         if (route == null) {
             log.log(
                     "route.missing",
@@ -119,124 +125,128 @@
                     "host",
                     host(request),
                     "manifest",
-                    inForce.version());
-            return Promise.of(CallerAnswer.noRoute());
+                    currentManifest.version());
+            return Promise.of(CallerResponse.routeNotFound());
         }
         String id = path.substring(route.pathPrefix().length());
         if (id.isEmpty() && request.getMethod() == HttpMethod.GET) {
-            return Promise.of(CallerAnswer.pending(cluster.pending(route.name())));
+            return Promise.of(CallerResponse.pending(clusterMember.pending(route.name())));
         }
-        if (!IDENTIFIER.matcher(id).matches()) {
-            return Promise.of(CallerAnswer.malformed("an identifier has 16 hexadecimal digits"));
+        if (!IDENTIFIER_PATTERN.matcher(id).matches()) {
+            return Promise.of(
+                    CallerResponse.malformed("the identifier must have 16 hexadecimal digits"));
         }
-        CallerRequest call = new CallerRequest(id, route, inForce.version(), deadline(request));
+        CallerRequest callerRequest =
+                new CallerRequest(id, route, currentManifest.version(), deadlineMillis(request));
         return switch (request.getMethod()) {
-            case POST -> submit(request, call, inForce.limits().maxBodyBytes());
-            case GET -> promise(answer -> questions.state(call, answer));
-            case DELETE -> promise(answer -> questions.cancel(call, answer));
-            default -> Promise.of(CallerAnswer.malformed("the method is not known here"));
+            case POST -> submit(request, callerRequest, currentManifest.limits().maxBodyBytes());
+            case GET -> promise(callback -> stateHandler.queryState(callerRequest, callback));
+            case DELETE -> promise(callback -> stateHandler.cancel(callerRequest, callback));
+            default -> Promise.of(CallerResponse.malformed("the HTTP method is not supported"));
         };
     }
 
     /**
-     * Handles a submission.
+     * Loads the body of a submission and accepts it.
      *
-     * @param request the request
-     * @param call the request
-     * @param limit the largest body, in bytes
-     * @return the answer
+     * @param request the HTTP request, whose body has not been loaded
+     * @param callerRequest the same request after routing
+     * @param maxBodyBytes the maximum size of a body, in bytes
+     * @return the response; a body that can't be loaded is reported as too large
      */
-    private Promise<CallerAnswer> submit(HttpRequest request, CallerRequest call, int limit) {
-        return request.loadBody(limit)
+    private Promise<CallerResponse> submit(
+            HttpRequest request, CallerRequest callerRequest, int maxBodyBytes) {
+        return request.loadBody(maxBodyBytes)
                 .then(
                         buffer -> {
                             byte[] body = buffer.getArray();
-                            return body.length > limit
-                                    ? Promise.of(CallerAnswer.tooLarge(limit))
-                                    : accept(call, body);
+                            return body.length > maxBodyBytes
+                                    ? Promise.of(CallerResponse.bodyTooLarge(maxBodyBytes))
+                                    : accept(callerRequest, body);
                         },
                         error -> {
-                            log.log("body.unreadable", "id", call.id(), "error", error);
-                            return Promise.of(CallerAnswer.tooLarge(limit));
+                            log.log("body.unreadable", "id", callerRequest.id(), "error", error);
+                            return Promise.of(CallerResponse.bodyTooLarge(maxBodyBytes));
                         });
     }
 
     /**
-     * Accepts a submission.
+     * Parses a submission and passes it to the acceptor.
      *
-     * @param call the request
-     * @param body the body
-     * @return the answer
+     * @param callerRequest the request
+     * @param body the JSON body
+     * @return the response
      */
-    private Promise<CallerAnswer> accept(CallerRequest call, byte[] body) {
+    private Promise<CallerResponse> accept(CallerRequest callerRequest, byte[] body) {
         Submission submission;
         try {
-            submission = CallerFormats.submission(call.id(), body);
+            submission = CallerFormats.submission(callerRequest.id(), body);
         } catch (DamasktillerException exception) {
             log.log(
                     "submission.malformed",
                     "id",
-                    call.id(),
+                    callerRequest.id(),
                     "reason",
                     String.valueOf(exception.getMessage()));
-            return Promise.of(CallerAnswer.malformed(String.valueOf(exception.getMessage())));
+            return Promise.of(CallerResponse.malformed(String.valueOf(exception.getMessage())));
         }
-        return promise(answer -> acceptor.accept(call, submission, answer));
+        return promise(callback -> acceptor.accept(callerRequest, submission, callback));
     }
 
     /**
-     * Makes a promise of an answer.
+     * Adapts an operation with a callback to a promise.
      *
-     * @param action begins the work and gets what takes the answer
-     * @return the promise
+     * @param action starts the operation; its argument is the callback for the response
+     * @return a promise that completes when the callback is called
      */
-    private static Promise<CallerAnswer> promise(Consumer<Consumer<CallerAnswer>> action) {
-        SettablePromise<CallerAnswer> promise = new SettablePromise<>();
+    private static Promise<CallerResponse> promise(Consumer<Consumer<CallerResponse>> action) {
+        SettablePromise<CallerResponse> promise = new SettablePromise<>();
         action.accept(promise::set);
         return promise;
     }
 
     /**
-     * Renders an answer.
+     * Converts a response to its HTTP form.
      *
-     * @param answer the answer
-     * @return the response
+     * @param response the response
+     * @return the HTTP response
      */
-    private HttpResponse render(CallerAnswer answer) {
+    private HttpResponse render(CallerResponse response) {
         HttpResponse.Builder builder =
-                HttpResponse.ofCode(answer.status())
+                HttpResponse.ofCode(response.status())
                         .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
-                        .withBody(answer.body());
-        if (answer.retryAfterSeconds() > 0) {
+                        .withBody(response.body());
+        if (response.retryAfterSeconds() > 0) {
             builder.withHeader(
-                    HttpHeaders.RETRY_AFTER, Integer.toString(answer.retryAfterSeconds()));
+                    HttpHeaders.RETRY_AFTER, Integer.toString(response.retryAfterSeconds()));
         }
-        if (closing) {
+        if (closeAfterResponse) {
             builder.withHeader(HttpHeaders.CONNECTION, "close");
         }
         return builder.build();
     }
 
     /**
-     * Returns by when the caller wants an answer.
+     * Returns when the caller stops waiting for a response. The deadline header holds the remaining
+     * time in milliseconds; a missing or malformed header means the default timeout.
      *
      * @param request the request
-     * @return the time on the steady clock, in milliseconds
+     * @return the deadline on the monotonic clock, in milliseconds
      */
-    private long deadline(HttpRequest request) {
+    private long deadlineMillis(HttpRequest request) {
         String header = request.getHeader(CallerFormats.DEADLINE);
-        long wait = DEFAULT_DEADLINE_MILLIS;
+        long timeoutMillis = DEFAULT_TIMEOUT_MILLIS;
         if (header != null && header.matches("\\d{1,9}")) {
-            wait = Long.parseLong(header);
+            timeoutMillis = Long.parseLong(header);
         }
-        return runtime.nowMillis() + wait;
+        return runtime.nowMillis() + timeoutMillis;
     }
 
     /**
-     * Returns the host that the caller names, without a port.
+     * Returns the value of the Host header without its port.
      *
      * @param request the request
-     * @return the host, empty if there is none
+     * @return the host, or an empty string if the request has no such header
      */
     private static String host(HttpRequest request) {
         String header = request.getHeader(HttpHeaders.HOST);
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -18,34 +18,39 @@
 import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
- * Accepts submissions with one write, on condition that none is stored under the identifier. A
- * write without an answer is sent again: it succeeds, or conflicts with the first that did. Once a
- * write has gone unanswered, the submission is never reported as not accepted.
+ * Stores new submissions. Each submission is written by one transaction, on the condition that none
+ * is stored under its identifier, so that a retry is idempotent: it either succeeds or conflicts
+ * with the write that was applied first. After a write without a response the submission is never
+ * reported as rejected, because the store may still apply that write.
  */
 public final class SubmissionAcceptor {
 
-    /** The pause before a write is sent again, in milliseconds. */
-    private static final long RETRY_MILLIS = 80;
+    /** The delay before a failed write is retried, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 80;
 
-    /** How long a store that refuses is tried, in milliseconds: about one retry of a caller. */
-    private static final long REFUSAL_MILLIS = 700;
+    /**
+     * How long writes that the store refuses are retried, in milliseconds: about as long as a
+     * caller waits before its own retry.
+     */
+    private static final long REFUSAL_TIMEOUT_MILLIS = 700;
 
     /**
-     * How long a silent store is tried, in milliseconds: one call's timeout and half another. Then
-     * the caller may ask another VM, which may reach the store.
+     * How long writes without a response from the store are retried, in milliseconds: 1.5 times the
+     * timeout of a call to the store. A caller that gets a response this early can still try
+     * another VM, which may reach the store.
      */
-    private static final long SILENCE_MILLIS = 1_500;
+    private static final long NO_RESPONSE_TIMEOUT_MILLIS = 1_500;
 
-    /** How long before the caller's deadline the answer is due, in milliseconds. */
-    private static final long MARGIN_MILLIS = 150;
+    /** How long before the caller's deadline the response is sent, in milliseconds. */
+    private static final long DEADLINE_MARGIN_MILLIS = 150;
 
     /** The store. */
     private final MetadataStore store;
 
-    /** The layout of the cells. */
+    /** Maps services and zones to cells. */
     private final CellLayout layout;
 
-    /** The zone of this process, whose cell takes the submissions. */
+    /** The availability zone of this process; submissions go to the cell of this zone. */
     private final String zone;
 
     /** The clock and the timers. */
@@ -58,8 +63,8 @@
      * Creates an acceptor.
      *
      * @param store the store
-     * @param layout the layout of the cells
-     * @param zone the zone of this process
+     * @param layout maps services and zones to cells
+     * @param zone the availability zone of this process; submissions go to its cell
      * @param runtime the clock and the timers
      * @param log the log
      */
@@ -77,51 +82,52 @@
     }
 
     /**
-     * Accepts a submission.
+     * Stores a submission and responds shortly before the caller's deadline at the latest.
      *
      * @param request the request
-     * @param submission the submission
-     * @param answer takes the answer
+     * @param submission the submission to store
+     * @param callback the callback for the response, called exactly once
      */
-    void accept(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
-        new Attempt(request, submission, answer).start();
+    void accept(CallerRequest request, Submission submission, Consumer<CallerResponse> callback) {
+        new RetryingWrite(request, submission, callback).start();
     }
 
-    /** The attempts to store one submission. */
-    private final class Attempt {
+    /** Writes one submission and retries until it is stored or the time is up. */
+    private final class RetryingWrite {
 
         /** The request. */
         private final CallerRequest request;
 
-        /** The cell that takes the submission. */
+        /** The cell that will run the submission. */
         private final String cell;
 
-        /** The transaction. */
+        /** The transaction that stores the submission; each retry sends the same one. */
         private final StoreTransaction commit;
 
-        /** Takes the answer. */
-        private final Consumer<CallerAnswer> answer;
+        /** The callback for the response. */
+        private final Consumer<CallerResponse> callback;
 
-        /** When the first write was sent, in milliseconds. */
-        private final long beganMillis;
+        /** When the request arrived, on the monotonic clock, in milliseconds. */
+        private final long startMillis;
 
-        /** Whether a write has gone unanswered. */
+        /** Whether the store did not respond to some write, which it may still apply. */
         private boolean uncertain;
 
-        /** Whether the caller has been answered. */
-        private boolean answered;
+        /** Whether the response has been sent to the caller. */
+        private boolean responded;
 
         /**
-         * Prepares the transaction.
+         * Creates the transaction without sending it.
          *
          * @param request the request
-         * @param submission the submission
-         * @param answer takes the answer
+         * @param submission the submission to store
+         * @param callback the callback for the response
          */
-        Attempt(CallerRequest request, Submission submission, Consumer<CallerAnswer> answer) {
+        RetryingWrite(
+                CallerRequest request, Submission submission, Consumer<CallerResponse> callback) {
             this.request = request;
-            this.answer = answer;
-            this.beganMillis = runtime.nowMillis();
+            this.callback = callback;
+            this.startMillis = runtime.nowMillis();
             String service = request.route().service();
             this.cell = layout.cellOf(service, zone);
             long unixMillis = runtime.unixMillis();
@@ -140,85 +146,88 @@
                             .put(CellKeys.inbox(cell) + request.id(), accepted);
         }
 
-        /** Sends the transaction, and answers at the latest when its time is over. */
+        /** Sends the transaction and schedules the response for the case that it takes too long. */
         void start() {
-            long latest =
+            long responseDueMillis =
                     Math.min(
-                            request.deadlineMillis() - MARGIN_MILLIS, beganMillis + SILENCE_MILLIS);
+                            request.deadlineMillis() - DEADLINE_MARGIN_MILLIS,
+                            startMillis + NO_RESPONSE_TIMEOUT_MILLIS);
             runtime.schedule(
-                    Math.max(0, latest - beganMillis),
+                    Math.max(0, responseDueMillis - startMillis),
                     () -> {
                         uncertain = true;
-                        finish(
+                        respond(
                                 StoreStatus.UNKNOWN,
-                                CallerAnswer.outcomeUnknown("the store did not answer in time"));
+                                CallerResponse.outcomeUnknown("the store did not respond in time"));
                     });
             send();
         }
 
-        /** Sends the transaction. */
+        /** Sends the transaction, unless the caller already has a response. */
         private void send() {
-            if (!answered) {
-                store.commit(commit, this::onResult);
+            if (!responded) {
+                store.commit(commit, this::onCommitResult);
             }
         }
 
         /**
-         * Takes the answer of the store.
+         * Handles the result of a write. A conflict counts as success: a submission is already
+         * stored under the identifier, by an earlier write or an earlier request.
          *
-         * @param result the answer
+         * @param result the store's response
          */
-        private void onResult(StoreResult<CommitReply> result) {
+        private void onCommitResult(StoreResult<CommitReply> result) {
             switch (result.status()) {
-                case OK, CONFLICT -> finish(result.status(), CallerAnswer.accepted());
+                case OK, CONFLICT -> respond(result.status(), CallerResponse.accepted());
                 case UNKNOWN -> {
                     uncertain = true;
-                    again(result);
+                    retryOrRespond(result);
                 }
-                default -> again(result);
+                default -> retryOrRespond(result);
             }
         }
 
         /**
-         * Returns until when the write is tried again.
+         * Returns the time after which the write is not retried.
          *
-         * @return the time, in milliseconds
+         * @return the time on the monotonic clock, in milliseconds
          */
-        private long latestRetry() {
-            long patience = uncertain ? SILENCE_MILLIS : REFUSAL_MILLIS;
-            return Math.min(request.deadlineMillis() - MARGIN_MILLIS, beganMillis + patience);
+        private long retryDeadlineMillis() {
+            long timeoutMillis = uncertain ? NO_RESPONSE_TIMEOUT_MILLIS : REFUSAL_TIMEOUT_MILLIS;
+            return Math.min(
+                    request.deadlineMillis() - DEADLINE_MARGIN_MILLIS, startMillis + timeoutMillis);
         }
 
         /**
-         * Sends the transaction again, or gives up.
+         * Schedules a retry, or responds with the failure if there is no time left for one.
          *
-         * @param result the answer of the store
+         * @param result the store's response to the write that failed
          */
-        private void again(StoreResult<CommitReply> result) {
-            if (runtime.nowMillis() + RETRY_MILLIS < latestRetry()) {
-                runtime.schedule(RETRY_MILLIS, this::send);
+        private void retryOrRespond(StoreResult<CommitReply> result) {
+            if (runtime.nowMillis() + RETRY_DELAY_MILLIS < retryDeadlineMillis()) {
+                runtime.schedule(RETRY_DELAY_MILLIS, this::send);
             } else if (uncertain) {
-                finish(
+                respond(
                         result.status(),
-                        CallerAnswer.outcomeUnknown("the store did not answer in time"));
+                        CallerResponse.outcomeUnknown("the store did not respond in time"));
             } else {
-                finish(
+                respond(
                         result.status(),
-                        CallerAnswer.notCarriedOut("the store refused the submission"));
+                        CallerResponse.notExecuted("the store refused the submission"));
             }
         }
 
         /**
-         * Answers the caller.
+         * Sends the response and logs it; later calls have no effect.
          *
-         * @param status how the last write ended
-         * @param outcome the answer
+         * @param status the result of the last write
+         * @param response the response
          */
-        private void finish(StoreStatus status, CallerAnswer outcome) {
-            if (answered) {
+        private void respond(StoreStatus status, CallerResponse response) {
+            if (responded) {
                 return;
             }
-            answered = true;
+            responded = true;
             log.log(
                     "submission.answered",
                     "id",
@@ -234,10 +243,10 @@
                     "uncertain",
                     uncertain,
                     "status",
-                    outcome.status(),
+                    response.status(),
                     "millis",
-                    runtime.nowMillis() - beganMillis);
-            answer.accept(outcome);
+                    runtime.nowMillis() - startMillis);
+            callback.accept(response);
         }
     }
 }
