--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
@@ -15,43 +15,46 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 import org.damasktiller.standin.metadata.FatePlan;
 
-/** One process's connections to simulated workers, with delay and faults. */
+/**
+ * The connections of one process to simulated workers. Calls take time, and a plan decides which of
+ * them fail and how.
+ */
 public final class FleetClient implements WorkerClient {
 
-    /** How long a call takes each way, in milliseconds. */
+    /** The network latency in each direction, in milliseconds. */
     private static final long ONE_WAY_MILLIS = 2;
 
-    /** How long a client waits for an answer, in milliseconds. */
+    /** The time after which a call without an answer fails, in milliseconds. */
     private static final long TIMEOUT_MILLIS = 600;
 
-    /** How late a late order is carried out, in milliseconds. */
+    /** The delay after which a late call is executed, in milliseconds. */
     private static final long LATE_MILLIS = 3_000;
 
-    /** The time between two looks of a hold that waits, in milliseconds. */
+    /** The interval at which a waiting heartbeat checks for ended runs, in milliseconds. */
     private static final long POLL_MILLIS = 10;
 
-    /** The workers by identifier. */
+    /** The workers by identifier, shared with the simulation. */
     private final Map<String, WorkerModel> workers;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the process. */
     private final ProcessRuntime runtime;
 
-    /** Decides what becomes of calls. */
+    /** Decides which calls fail and how. */
     private final FatePlan fates;
 
-    /** The workers that can't be reached by anyone. */
+    /** The identifiers of the workers that no process can reach, shared with the simulation. */
     private final Set<String> cut;
 
-    /** Whether the process is dead. */
+    /** Whether the process was killed: it sends no further calls and receives no replies. */
     private boolean dead;
 
     /**
-     * Creates connections.
+     * Creates the connections of a process.
      *
      * @param workers the workers by identifier
-     * @param cut the workers that can't be reached
-     * @param runtime the clock and the timers
-     * @param fates decides what becomes of calls
+     * @param cut the identifiers of the workers that cannot be reached; may change later
+     * @param runtime the clock and timers of the process
+     * @param fates decides which calls fail and how
      */
     public FleetClient(
             Map<String, WorkerModel> workers,
@@ -65,7 +68,7 @@
     }
 
     /**
-     * Makes an empty set of workers that can't be reached.
+     * Creates an empty, mutable set of identifiers, such as those of unreachable workers.
      *
      * @return the set
      */
@@ -73,7 +76,7 @@
         return new HashSet<>();
     }
 
-    /** Ends the process that has these connections. */
+    /** Kills the process: it sends no further calls and receives no replies. */
     public void kill() {
         dead = true;
     }
@@ -128,15 +131,15 @@
     }
 
     /**
-     * Waits until a worker has ends or the time is over, and then lists what it runs. A worker that
-     * begins a new life breaks the call off.
+     * Waits until a worker has an unacknowledged ended run or the time is up, and then sends the
+     * heartbeat again. If the worker restarts meanwhile, the connection breaks and the call fails.
      *
      * @param model the worker
-     * @param born when the life that was asked began, in milliseconds since 1970
-     * @param latestMillis until when to wait, in milliseconds
-     * @param worker the worker's name
-     * @param order the order
-     * @param answer takes the reply
+     * @param born the boot time of the worker when the call was made, in milliseconds since 1970
+     * @param latestMillis when to stop waiting, in milliseconds
+     * @param worker the address of the worker
+     * @param order the heartbeat
+     * @param answer receives the reply
      */
     private void await(
             WorkerModel model,
@@ -150,7 +153,12 @@
         }
         if (model.bootUnixMillis() != born) {
             answer.accept(
-                    new WorkerReply(WorkerStatus.UNKNOWN, -1, 0, null, "connection broken off"));
+                    new WorkerReply(
+                            WorkerStatus.UNKNOWN,
+                            -1,
+                            0,
+                            null,
+                            "the worker restarted and the connection broke"));
             return;
         }
         if (model.hasEnds() || runtime.nowMillis() >= latestMillis) {
@@ -162,12 +170,12 @@
     }
 
     /**
-     * Makes a call.
+     * Makes a call, with the fault that the plan decides for it.
      *
-     * @param name the kind of the call
-     * @param worker the worker
-     * @param effect carries it out
-     * @param answer takes the reply
+     * @param name the kind of the call, by which the plan decides
+     * @param worker the address of the worker
+     * @param effect executes the call on the worker
+     * @param answer receives the reply
      */
     private void call(
             String name,
@@ -215,19 +223,19 @@
     }
 
     /**
-     * Ends a call without an answer.
+     * Fails a call with status UNKNOWN after the timeout.
      *
-     * @param answer takes the reply
+     * @param answer receives the reply
      */
     private void timeOut(Consumer<WorkerReply> answer) {
         runtime.schedule(TIMEOUT_MILLIS, () -> deliver(failed(WorkerStatus.UNKNOWN), answer));
     }
 
     /**
-     * Delivers a reply.
+     * Delivers a reply after the network latency, unless the process is killed before it arrives.
      *
      * @param reply the reply
-     * @param answer takes it
+     * @param answer receives the reply
      */
     private void deliver(WorkerReply reply, Consumer<WorkerReply> answer) {
         runtime.schedule(
@@ -240,9 +248,9 @@
     }
 
     /**
-     * Makes the reply of a call that failed.
+     * Creates the reply to a call that the worker did not answer.
      *
-     * @param status how it ended
+     * @param status the status of the call
      * @return the reply
      */
     private static WorkerReply failed(WorkerStatus status) {
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunAudit.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunAudit.java
@@ -11,39 +11,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Checks what must never happen: two active runs of a task, a start after an acknowledged end as
- * done, and a start after as many acknowledged failures as there are attempts.
+ * Checks the safety properties of the scheduler on the events of the simulated workers. A task must
+ * never have two active runs, and it must not start again after its successful end was acknowledged
+ * or after as many of its failures were acknowledged as it has attempts.
  */
 public final class RunAudit implements RunObserver {
 
-    /** How often a task may fail. */
+    /** The number of failures after which a task must not start again. */
     private final int attempts;
 
-    /** The active runs by task. */
+    /** The number of active runs by task. */
     private final Map<TaskId, Integer> active = new HashMap<>();
 
-    /** The tasks that have ended as done at least once. */
+    /** The tasks of which at least one run succeeded. */
     private final Set<TaskId> done = new HashSet<>();
 
-    /** The tasks whose end as done was acknowledged. */
+    /** The tasks of which the end of a successful run was acknowledged. */
     private final Set<TaskId> acknowledgedDone = new HashSet<>();
 
-    /** The acknowledged failures by task. */
+    /** The number of acknowledged failed runs by task. */
     private final Map<TaskId, Integer> failures = new HashMap<>();
 
-    /** The failed runs by task, acknowledged or not. */
+    /** The number of failed runs by task, acknowledged or not. */
     private final Map<TaskId, Integer> failedRuns = new HashMap<>();
 
     /** The number of starts by task. */
     private final Map<TaskId, Integer> starts = new HashMap<>();
 
-    /** What was found. */
+    /** The violations found so far, one line each. */
     private final List<String> violations = new ArrayList<>();
 
     /**
-     * Creates an audit.
+     * Creates a checker.
      *
-     * @param attempts how often a task may fail
+     * @param attempts the number of failures after which a task must not start again
      */
     public RunAudit(int attempts) {
         this.attempts = attempts;
@@ -53,7 +54,7 @@
     public void started(String worker, TaskId task, int run) {
         starts.merge(task, 1, Integer::sum);
         if (active.merge(task, 1, Integer::sum) > 1) {
-            violations.add("two runs of " + task + ", run " + run + " on " + worker);
+            violations.add("two active runs of " + task + ", run " + run + " on " + worker);
         }
         if (acknowledgedDone.contains(task)) {
             violations.add("start of " + task + " after its end was acknowledged");
@@ -83,16 +84,16 @@
     }
 
     /**
-     * Returns what was found.
+     * Returns the violations found so far.
      *
-     * @return a line for each violation
+     * @return one line for each violation, empty if there are none
      */
     public List<String> violations() {
         return violations;
     }
 
     /**
-     * Returns the tasks that have ended as done.
+     * Returns the tasks of which at least one run succeeded.
      *
      * @return the tasks
      */
@@ -101,20 +102,20 @@
     }
 
     /**
-     * Returns how often a task was started.
+     * Returns how many runs of a task have started.
      *
      * @param task the task
-     * @return the number of starts
+     * @return the number of started runs
      */
     public int starts(TaskId task) {
         return starts.getOrDefault(task, 0);
     }
 
     /**
-     * Returns how many runs failed of the task that failed most often.
+     * Returns the highest number of failed runs of any of the given tasks.
      *
-     * @param tasks the tasks to look at
-     * @return the number of its failed runs
+     * @param tasks the tasks
+     * @return the highest number, acknowledged or not; 0 if no run failed
      */
     public int mostFailures(List<TaskId> tasks) {
         return tasks.stream().mapToInt(task -> failedRuns.getOrDefault(task, 0)).max().orElse(0);
@@ -124,7 +125,7 @@
      * Returns the number of active runs of a task.
      *
      * @param task the task
-     * @return the number
+     * @return the number of runs that have started and not ended
      */
     public int active(TaskId task) {
         return active.getOrDefault(task, 0);
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/TaskBehaviour.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/TaskBehaviour.java
@@ -4,35 +4,35 @@
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.TaskId;
 
-/** Tells how simulated tasks behave. */
+/** Determines the resources, the duration and the outcome of the runs of simulated tasks. */
 public interface TaskBehaviour {
 
-    /** The duration of a task that does not end by itself. */
+    /** The duration of a task that runs until it is stopped. */
     long LASTS = -1;
 
     /**
-     * Returns what a task takes of the room of a worker.
+     * Returns the resources that a run of a task reserves on its worker.
      *
      * @param task the task
-     * @return the resources
+     * @return the reserved resources
      */
     Resources reserved(TaskId task);
 
     /**
-     * Returns how long a run takes.
+     * Returns the duration of a run that is not stopped.
      *
-     * @param worker the worker
+     * @param worker the identifier of the worker
      * @param task the task
-     * @return the time, in milliseconds, or LASTS
+     * @return the duration, in milliseconds, or {@link #LASTS}
      */
     long workMillis(String worker, TaskId task);
 
     /**
-     * Returns how a run ends by itself.
+     * Returns the outcome of a run that is not stopped.
      *
-     * @param worker the worker
+     * @param worker the identifier of the worker
      * @param task the task
-     * @return how
+     * @return why the run ends
      */
     EndKind end(String worker, TaskId task);
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/WorkerModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/WorkerModel.java
@@ -19,70 +19,71 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * One worker: it keeps the highest fencing token, the lease, the active runs and the ends that have
- * not been acknowledged. Calls take effect at once and in order.
+ * A simulated worker. It holds the state that calls depend on: the highest fencing token, the
+ * lease, the active runs and the ended runs that have not been acknowledged. Calls take effect
+ * immediately and in the order in which they are made. Restarting the worker clears this state.
  */
 public final class WorkerModel {
 
-    /** How long a stop takes, in milliseconds. */
+    /** The time that a run needs to stop, in milliseconds. */
     private static final long STOP_MILLIS = 200;
 
-    /** The longest lease, in milliseconds. */
+    /** The maximum duration of a lease, in milliseconds; longer requests are shortened to it. */
     private static final long LONGEST_LEASE_MILLIS = 6_000;
 
-    /** The full progress, in percent. */
+    /** The progress of a run that has done all of its work, in percent. */
     private static final long FULL_PERCENT = 100;
 
-    /** The identifier. */
+    /** The identifier of the worker, which it keeps when it restarts. */
     private final String id;
 
-    /** What the worker has. */
+    /** The total resources of the worker. */
     private final Resources capacity;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the simulation. */
     private final ProcessRuntime runtime;
 
-    /** Tells how the tasks behave. */
+    /** Determines the resources, the duration and the outcome of runs. */
     private final TaskBehaviour behaviour;
 
-    /** Told of each start and end. */
+    /** Notified of each start, end and acknowledgement of a run. */
     private final RunObserver observer;
 
-    /** The active runs. */
+    /** The active runs by task, in the order in which they started. */
     private final Map<TaskId, Active> active = new LinkedHashMap<>();
 
-    /** The highest run that was stopped or ended, by task. */
+    /** The highest number of a stopped or ended run by task; starts of lower runs are refused. */
     private final Map<TaskId, Integer> highest = new HashMap<>();
 
-    /** The ends that have not been acknowledged. */
+    /** The ended runs that have not been acknowledged, in the order of their sequence numbers. */
     private final List<EndedRun> ends = new ArrayList<>();
 
-    /** Whether the worker is alive. */
+    /** Whether the worker is running; false after a crash until it boots again. */
     private boolean alive;
 
-    /** The number of the last end. */
+    /** The sequence number of the run that ended last, 0 if none ended since the worker booted. */
     private long lastEnd;
 
-    /** The highest fencing token seen. */
+    /** The highest fencing token that a call has carried since the worker booted. */
     private long token;
 
-    /** The end of the lease on the worker's clock, in milliseconds. */
+    /** When the lease expires on the worker's clock, in milliseconds. */
     private long leaseEndMillis;
 
-    /** When this boot began on the steady clock, in milliseconds. */
+    /** When the worker booted on the monotonic clock, in milliseconds. */
     private long bootMillis;
 
-    /** When this boot began, in milliseconds since 1970. */
+    /** When the worker booted, in milliseconds since 1970. */
     private long bootUnixMillis;
 
     /**
-     * Creates a worker that has just booted.
+     * Creates a worker and boots it.
      *
-     * @param id the identifier
-     * @param capacity what it has
-     * @param runtime the clock and the timers
-     * @param behaviour tells how the tasks behave
-     * @param observer told of each start and end
+     * @param id the identifier of the worker
+     * @param capacity the total resources of the worker
+     * @param runtime the clock and timers of the simulation
+     * @param behaviour determines the resources, the duration and the outcome of runs
+     * @param observer notified of each start, end and acknowledgement of a run
      */
     public WorkerModel(
             String id,
@@ -98,7 +99,7 @@
         boot();
     }
 
-    /** Ends at once, as by a crash: everything that runs is over, and nothing is answered. */
+    /** Crashes the worker. All active runs end without being reported to the scheduler. */
     public void crash() {
         alive = false;
         for (Active run : new ArrayList<>(active.values())) {
@@ -108,7 +109,7 @@
         active.clear();
     }
 
-    /** Begins a new life: nothing of before is known. */
+    /** Restarts the worker with a new boot time and without any state of its previous boot. */
     public void boot() {
         crash();
         alive = true;
@@ -122,16 +123,16 @@
     }
 
     /**
-     * Tells whether the worker is alive.
+     * Returns whether the worker is running.
      *
-     * @return whether it is
+     * @return true if it is, false if it has crashed and not booted again
      */
     public boolean alive() {
         return alive;
     }
 
     /**
-     * Returns the identifier.
+     * Returns the identifier of the worker.
      *
      * @return the identifier
      */
@@ -140,7 +141,7 @@
     }
 
     /**
-     * Returns what the worker has.
+     * Returns the total resources of the worker.
      *
      * @return the capacity
      */
@@ -149,9 +150,9 @@
     }
 
     /**
-     * Returns when the present boot began.
+     * Returns when the worker booted.
      *
-     * @return milliseconds since 1970
+     * @return the time of the last boot, in milliseconds since 1970
      */
     public long bootUnixMillis() {
         return bootUnixMillis;
@@ -160,17 +161,17 @@
     /**
      * Returns the number of active runs.
      *
-     * @return the number
+     * @return the number of runs that have started and not ended
      */
     public int activeRuns() {
         return active.size();
     }
 
     /**
-     * Starts a run.
+     * Starts a run and extends the lease. Repeating the call for an active run has no effect.
      *
-     * @param order the order
-     * @return the reply
+     * @param order the run to start
+     * @return the reply, without an inventory
      */
     public WorkerReply start(StartRequest order) {
         if (order.fencingToken() < token) {
@@ -203,12 +204,12 @@
     }
 
     /**
-     * Stops a run; one that is not there is refused from then on.
+     * Stops a run. If the run has not started, a later start of it is refused.
      *
      * @param task the task
      * @param run the number of the run
-     * @param fencingToken the token
-     * @return the reply
+     * @param fencingToken the generation of the cell's owner
+     * @return the reply, without an inventory
      */
     public WorkerReply stop(TaskId task, int run, long fencingToken) {
         if (fencingToken < token) {
@@ -224,10 +225,10 @@
     }
 
     /**
-     * Lengthens the lease and lists what the worker runs.
+     * Extends the lease, discards the acknowledged ended runs and lists the remaining runs.
      *
-     * @param order the order
-     * @return the reply
+     * @param order the lease and the acknowledgement
+     * @return the reply, with the inventory unless the call is fenced
      */
     public WorkerReply heartbeat(HeartbeatRequest order) {
         if (order.fencingToken() < token) {
@@ -252,29 +253,29 @@
     }
 
     /**
-     * Tells whether an end has not been acknowledged.
+     * Returns whether any ended run has not been acknowledged.
      *
-     * @return whether there is one
+     * @return true if there is at least one
      */
     public boolean hasEnds() {
         return !ends.isEmpty();
     }
 
     /**
-     * Answers an order to change a share, which the model does not follow.
+     * Answers a request to throttle a run. The simulated run keeps its speed.
      *
-     * @param fencingToken the token
-     * @return the reply
+     * @param fencingToken the generation of the cell's owner
+     * @return the reply, without an inventory
      */
     public WorkerReply throttle(long fencingToken) {
         return reply(fencingToken < token ? WorkerStatus.FENCED : WorkerStatus.OK);
     }
 
     /**
-     * Returns how much of its work a run has done.
+     * Computes the progress of a run from the time since its start.
      *
      * @param run the run
-     * @return the progress, in percent
+     * @return the progress, in percent: less than 100 for a run that ends by itself, 100 for others
      */
     private int progress(Active run) {
         long work = behaviour.workMillis(id, run.task);
@@ -285,9 +286,9 @@
     }
 
     /**
-     * Lengthens the lease.
+     * Extends the lease, at most by its maximum duration. A lease is never shortened.
      *
-     * @param untilMillis the end asked for, on the worker's clock, in milliseconds
+     * @param untilMillis the requested end of the lease on the worker's clock, in milliseconds
      */
     private void lengthen(long untilMillis) {
         long bounded = Math.min(untilMillis, clock() + LONGEST_LEASE_MILLIS);
@@ -297,7 +298,7 @@
         }
     }
 
-    /** Ends everything if the lease is over. */
+    /** Ends all active runs if the lease has expired. */
     private void lapse() {
         if (clock() >= leaseEndMillis) {
             for (Active run : new ArrayList<>(active.values())) {
@@ -307,10 +308,10 @@
     }
 
     /**
-     * Ends a run.
+     * Ends a run and adds it to the ended runs. Does nothing if it has already ended.
      *
      * @param run the run
-     * @param kind how
+     * @param kind why the run ended
      */
     private void end(Active run, EndKind kind) {
         if (run.over) {
@@ -325,9 +326,9 @@
     }
 
     /**
-     * Returns what the active runs take.
+     * Returns the resources reserved by the active runs.
      *
-     * @return the sum
+     * @return the sum over all active runs
      */
     private Resources used() {
         Resources sum = Resources.NONE;
@@ -338,7 +339,7 @@
     }
 
     /**
-     * Returns the worker's clock.
+     * Returns the time of the worker's clock, which starts at 0 when the worker boots.
      *
      * @return the time since the boot, in milliseconds
      */
@@ -347,40 +348,40 @@
     }
 
     /**
-     * Makes a reply without an inventory.
+     * Creates a reply without an inventory.
      *
-     * @param status how the call ended
+     * @param status the status of the call
      * @return the reply
      */
     private WorkerReply reply(WorkerStatus status) {
         return new WorkerReply(status, clock(), bootUnixMillis, null, status.name());
     }
 
-    /** An active run. */
+    /** A run that the worker executes. */
     private static final class Active {
 
         /** The task. */
         private final TaskId task;
 
-        /** The number of the run. */
+        /** The number of the run among the runs of the task. */
         private final int number;
 
-        /** What it takes. */
+        /** The resources that the run reserves. */
         private final Resources need;
 
-        /** When it started, in milliseconds. */
+        /** When the run started on the monotonic clock, in milliseconds. */
         private final long sinceMillis;
 
-        /** Whether it has ended. */
+        /** Whether the run has ended, so that scheduled events must ignore it. */
         private boolean over;
 
         /**
-         * Creates a run.
+         * Creates an active run.
          *
          * @param task the task
-         * @param number the number
-         * @param need what it takes
-         * @param sinceMillis when it started, in milliseconds
+         * @param number the number of the run among the runs of the task
+         * @param need the resources that the run reserves
+         * @param sinceMillis when the run started on the monotonic clock, in milliseconds
          */
         Active(TaskId task, int number, Resources need, long sinceMillis) {
             this.task = task;
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/package-info.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins of workers that run simulated tasks, with a check of what must never happen. */
+/** Simulated workers for tests, with a checker of the scheduler's safety properties. */
 @NullMarked
 package org.damasktiller.standin.fleet;
 
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/CallFate.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/CallFate.java
@@ -1,15 +1,15 @@
 package org.damasktiller.standin.metadata;
 
-/** What becomes of a call. */
+/** The fault that affects a simulated call. */
 public enum CallFate {
-    /** It is carried out and answered. */
+    /** No fault: the call is executed and answered. */
     ANSWERED,
-    /** It is refused; nothing is done. */
+    /** The call is refused and not executed. */
     REFUSED,
-    /** It is lost on the way; nothing is done, and no answer comes. */
+    /** The request is lost: the call is not executed, and the caller gets no answer. */
     LOST,
-    /** It is carried out, and its answer is lost. */
+    /** The answer is lost: the call is executed, but the caller gets no answer. */
     ANSWER_LOST,
-    /** No answer comes, and it is carried out seconds later. */
+    /** The request is late: the call is executed seconds later, but the caller gets no answer. */
     LATE
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FatePlan.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FatePlan.java
@@ -1,17 +1,18 @@
 package org.damasktiller.standin.metadata;
 
-/** Decides what becomes of each call. */
+/** Decides which fault affects each simulated call. */
 @FunctionalInterface
 public interface FatePlan {
 
-    /** Lets every call be answered. */
+    /** The plan without faults: each call is executed and answered. */
     FatePlan CALM = call -> CallFate.ANSWERED;
 
     /**
-     * Decides what becomes of a call.
+     * Decides which fault affects a call. Invoked once for each call, so that a plan may count.
      *
-     * @param call the kind of the call, such as {@code commit} or {@code start}
-     * @return what becomes of it
+     * @param call the kind of the call, such as {@code commit} or {@code start}; for a watch,
+     *     {@code watch} followed by a space and the prefix
+     * @return the fault
      */
     CallFate decide(String call);
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreClient.java
@@ -13,42 +13,45 @@
 import org.damasktiller.scheduler.port.StoreStatus;
 import org.damasktiller.scheduler.port.StoreTransaction;
 
-/** One process's connection to a {@link StoreModel}, with delay and faults. */
+/**
+ * The connection of one process to a {@link StoreModel}. Calls take time, and a plan decides which
+ * of them fail and how.
+ */
 public final class StoreClient implements MetadataStore {
 
-    /** How long a call takes each way, in milliseconds. */
+    /** The network latency in each direction, in milliseconds. */
     private static final long ONE_WAY_MILLIS = 2;
 
-    /** How much longer a page takes than a small answer, in milliseconds. */
+    /** The additional time that the answer to a listing takes, in milliseconds. */
     private static final long PAGE_MILLIS = 12;
 
-    /** How long a client waits for an answer, in milliseconds. */
+    /** The time after which a call without an answer fails, in milliseconds. */
     private static final long TIMEOUT_MILLIS = 1_000;
 
-    /** How late a late call is carried out, in milliseconds. */
+    /** The delay after which a late call is executed, in milliseconds. */
     private static final long LATE_MILLIS = 3_000;
 
-    /** The time between two looks of a watch, in milliseconds. */
+    /** The interval at which a watch checks for changes, in milliseconds. */
     private static final long POLL_MILLIS = 5;
 
     /** The store. */
     private final StoreModel model;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the process. */
     private final ProcessRuntime runtime;
 
-    /** Decides what becomes of calls. */
+    /** Decides which calls fail and how. */
     private final FatePlan fates;
 
-    /** Whether the process is dead: nothing is sent or delivered any more. */
+    /** Whether the process was killed: it sends no further calls and receives no answers. */
     private boolean dead;
 
     /**
-     * Creates a connection.
+     * Creates the connection of a process.
      *
      * @param model the store
-     * @param runtime the clock and the timers
-     * @param fates decides what becomes of calls
+     * @param runtime the clock and timers of the process
+     * @param fates decides which calls fail and how
      */
     public StoreClient(StoreModel model, ProcessRuntime runtime, FatePlan fates) {
         this.model = model;
@@ -56,7 +59,7 @@
         this.fates = fates;
     }
 
-    /** Ends the process that has this connection. */
+    /** Kills the process: it sends no further calls and receives no answers. */
     public void kill() {
         dead = true;
     }
@@ -128,12 +131,12 @@
     }
 
     /**
-     * Looks for changes until there are some or the time is over.
+     * Checks for changes repeatedly until there are any or the time is up, and delivers them.
      *
-     * @param prefix the prefix
-     * @param after the revision after which changes are wanted
-     * @param latestMillis until when to look, in milliseconds
-     * @param answer takes the changes
+     * @param prefix the prefix of the keys
+     * @param after the revision after which changes are reported
+     * @param latestMillis when to stop waiting, in milliseconds
+     * @param answer receives the changes
      */
     private void poll(
             String prefix,
@@ -153,12 +156,12 @@
     }
 
     /**
-     * Makes a call.
+     * Makes a call, with the fault that the plan decides for it.
      *
-     * @param name the kind of the call
-     * @param effect carries it out
-     * @param answer takes the answer
-     * @param <T> the type of what is returned
+     * @param name the kind of the call, by which the plan decides
+     * @param effect executes the call on the store
+     * @param answer receives the result
+     * @param <T> the type of the returned value
      */
     private <T> void call(
             String name, Supplier<StoreResult<T>> effect, Consumer<StoreResult<T>> answer) {
@@ -189,10 +192,10 @@
     }
 
     /**
-     * Ends a call without an answer.
+     * Fails a call with status UNKNOWN after the timeout.
      *
-     * @param answer takes the result
-     * @param <T> the type of what would have been returned
+     * @param answer receives the result
+     * @param <T> the type of the value that a successful call returns
      */
     private <T> void timeOut(Consumer<StoreResult<T>> answer) {
         runtime.schedule(
@@ -201,11 +204,11 @@
     }
 
     /**
-     * Delivers a result.
+     * Delivers a result after the network latency, unless the process is killed before it arrives.
      *
      * @param result the result
-     * @param answer takes it
-     * @param <T> the type of what is returned
+     * @param answer receives the result
+     * @param <T> the type of the returned value
      */
     private <T> void deliver(StoreResult<T> result, Consumer<StoreResult<T>> answer) {
         runtime.schedule(
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreModel.java
@@ -18,43 +18,46 @@
 import org.damasktiller.scheduler.port.StoreTransaction;
 import org.jspecify.annotations.Nullable;
 
-/** The items, leases and history of a store. Calls take effect at once and in order. */
+/**
+ * An in-memory store with the items, leases and history of changes of the platform's store. Calls
+ * take effect immediately and in the order in which they are made.
+ */
 public final class StoreModel {
 
-    /** The most items of a page. */
+    /** The maximum number of items on a page of a listing. */
     private static final int PAGE_ITEMS = 500;
 
-    /** The clock. */
+    /** The clock and timers by which leases expire. */
     private final ProcessRuntime runtime;
 
     /** The items by key. */
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
 
-    /** The lease of each key that has one. */
+    /** The identifiers of the leases by key, for the keys that are bound to a lease. */
     private final Map<String, Long> keyLeases = new HashMap<>();
 
-    /** The leases by number. */
+    /** The active leases by identifier. */
     private final Map<Long, Lease> leases = new TreeMap<>();
 
-    /** The changes that are kept, in order. */
+    /** The changes since the last compaction, in the order of their revisions. */
     private final List<StoreEvent> history = new ArrayList<>();
 
-    /** Run after each change. */
+    /** The actions to run after each transaction or removal of keys. */
     private final List<Runnable> listeners = new ArrayList<>();
 
-    /** The revision. */
+    /** The current revision, incremented by each transaction. */
     private long revision = 1;
 
-    /** The revision up to which the history is gone. */
+    /** The revision up to which the history was discarded. */
     private long compactedRevision;
 
-    /** The number of the last lease. */
+    /** The identifier of the lease that was created last. */
     private long lastLease;
 
     /**
      * Creates an empty store.
      *
-     * @param runtime the clock
+     * @param runtime the clock and timers by which leases expire
      */
     public StoreModel(ProcessRuntime runtime) {
         this.runtime = runtime;
@@ -69,7 +72,7 @@
         listeners.add(listener);
     }
 
-    /** Forgets the history. */
+    /** Discards the history of changes, so that watches from earlier revisions fail. */
     public void compact() {
         history.clear();
         compactedRevision = revision;
@@ -79,7 +82,7 @@
      * Reads a key.
      *
      * @param key the key
-     * @return the reading
+     * @return the item with the current revision, ABSENT if the key does not exist
      */
     public StoreResult<StoreReading> read(String key) {
         expire();
@@ -90,10 +93,10 @@
     }
 
     /**
-     * Reads a page.
+     * Reads a page of the items whose keys have a prefix.
      *
      * @param prefix the prefix of the keys
-     * @param after the key after which the page begins, empty for the first
+     * @param after the last key of the previous page, empty for the first page
      * @return the page
      */
     public StorePage list(String prefix, String after) {
@@ -115,13 +118,14 @@
      * Returns the changes after a revision.
      *
      * @param prefix the prefix of the keys
-     * @param after the revision
-     * @return the changes; COMPACTED if they are no longer kept
+     * @param after the revision after which changes are returned
+     * @return the changes, COMPACTED if the history since the revision was discarded
      */
     public StoreResult<StoreChanges> changes(String prefix, long after) {
         expire();
         if (after < compactedRevision) {
-            return StoreResult.failed(StoreStatus.COMPACTED, "history is gone");
+            return StoreResult.failed(
+                    StoreStatus.COMPACTED, "the history since that revision was discarded");
         }
         List<StoreEvent> found = new ArrayList<>();
         for (StoreEvent event : history) {
@@ -133,10 +137,11 @@
     }
 
     /**
-     * Carries out a transaction.
+     * Executes a transaction.
      *
      * @param commit the transaction
-     * @return the reply
+     * @return the new revision, CONFLICT with the current items if a condition does not hold, or
+     *     ABSENT if a lease does not exist
      */
     public StoreResult<CommitReply> commit(StoreTransaction commit) {
         expire();
@@ -167,9 +172,9 @@
     }
 
     /**
-     * Takes out a lease.
+     * Creates a lease.
      *
-     * @param ttlMillis its life, in milliseconds
+     * @param ttlMillis the time to live, in milliseconds
      * @return the lease
      */
     public StoreLease grant(long ttlMillis) {
@@ -182,8 +187,8 @@
     /**
      * Renews a lease.
      *
-     * @param id its number
-     * @return whether it was alive
+     * @param id the identifier of the lease
+     * @return true if the lease was renewed, false if it does not exist or has expired
      */
     public boolean keep(long id) {
         expire();
@@ -197,9 +202,9 @@
     }
 
     /**
-     * Ends a lease and removes its keys.
+     * Ends a lease and removes the keys that are bound to it.
      *
-     * @param id its number
+     * @param id the identifier of the lease; unknown identifiers are ignored
      */
     public void end(long id) {
         leases.remove(id);
@@ -217,12 +222,12 @@
         }
     }
 
-    /** Ends every lease at once, as a store may that was away. */
+    /** Ends all leases, as a store may do after an outage. */
     public void endLeases() {
         new ArrayList<>(leases.keySet()).forEach(this::end);
     }
 
-    /** Ends the leases whose time is over. */
+    /** Ends the leases that have expired. */
     private void expire() {
         List<Long> over = new ArrayList<>();
         leases.forEach(
@@ -235,7 +240,7 @@
     }
 
     /**
-     * Writes an item at the present revision.
+     * Writes an item at the current revision and binds it to its lease.
      *
      * @param key the key
      * @param write the value and the lease
@@ -253,7 +258,7 @@
     }
 
     /**
-     * Removes an item at the present revision.
+     * Removes an item at the current revision.
      *
      * @param key the key
      */
@@ -277,10 +282,10 @@
     }
 
     /**
-     * A lease.
+     * An active lease.
      *
-     * @param ttlMillis its life from a renewal, in milliseconds
-     * @param endMillis when it ends, in milliseconds
+     * @param ttlMillis the time to live, counted from a renewal, in milliseconds
+     * @param endMillis when the lease expires unless it is renewed, in milliseconds
      */
     private record Lease(long ttlMillis, long endMillis) {}
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/package-info.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in of the platform's store, in memory. */
+/** An in-memory replacement of the platform's store for tests, with fault injection. */
 @NullMarked
 package org.damasktiller.standin.metadata;
 
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/FreezableRuntime.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/FreezableRuntime.java
@@ -5,26 +5,28 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
 /**
- * The clock of one process, which can be frozen: nothing runs, and the steady clock stands still.
+ * The clock and timers of one simulated process that can be frozen, as by a long garbage collection
+ * or a stopped virtual machine. While it is frozen, no actions run and its monotonic clock does not
+ * advance; the wall clock continues.
  */
 public final class FreezableRuntime implements ProcessRuntime {
 
-    /** The clock of the world. */
+    /** The clock and timers of the whole simulation, which are never frozen. */
     private final ProcessRuntime world;
 
-    /** The actions that fell due while frozen. */
+    /** The actions that became due while the process was frozen, in the order of their times. */
     private final List<Runnable> held = new ArrayList<>();
 
-    /** How long the process has been frozen so far, in milliseconds. */
+    /** The total duration of the completed freezes, in milliseconds. */
     private long frozenMillis;
 
-    /** When the process was frozen, in milliseconds, or -1 while it runs. */
+    /** When the freeze in progress began, in milliseconds, or -1 if the process is not frozen. */
     private long frozenAtMillis = -1;
 
     /**
-     * Creates the clock of a process that runs.
+     * Creates the clock of a process that is not frozen.
      *
-     * @param world the clock of the world
+     * @param world the clock and timers of the whole simulation
      */
     public FreezableRuntime(ProcessRuntime world) {
         this.world = world;
@@ -54,12 +56,12 @@
                 });
     }
 
-    /** Freezes the process. */
+    /** Freezes the process. Must not be called while it is frozen. */
     public void freeze() {
         frozenAtMillis = world.nowMillis();
     }
 
-    /** Lets the process run again; what fell due meanwhile runs at once. */
+    /** Unfreezes the process and runs the actions that became due meanwhile. */
     public void thaw() {
         frozenMillis += world.nowMillis() - frozenAtMillis;
         frozenAtMillis = -1;
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/PausedRuntime.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/PausedRuntime.java
@@ -2,16 +2,16 @@
 
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
-/** The clock and timers of simulated processes: a virtual time that is advanced by hand. */
+/** The clock and timers of a simulation, whose virtual time advances only on request. */
 public final class PausedRuntime implements ProcessRuntime {
 
-    /** The time of day when the clock is at zero, in milliseconds since 1970. */
+    /** The wall-clock time when the virtual time is 0, in milliseconds since 1970. */
     private static final long UNIX_START = 1_700_000_000_000L;
 
-    /** The time. */
+    /** The virtual time and the scheduled actions. */
     private final VirtualTime time = new VirtualTime(0);
 
-    /** Creates a clock at zero. */
+    /** Creates a runtime whose virtual time is 0. */
     public PausedRuntime() {}
 
     @Override
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Advances the clock and runs what falls due.
+     * Advances the virtual time and runs the actions that become due.
      *
-     * @param millis by how much, in milliseconds
+     * @param millis the time to advance by, in milliseconds
      */
     public void advance(long millis) {
         long end = time.nowMillis() + millis;
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/ScheduledStep.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/ScheduledStep.java
@@ -1,11 +1,11 @@
 package org.damasktiller.standin.time;
 
 /**
- * Holds something that happens at a time.
+ * An action scheduled for a point in virtual time, ordered by time and then by sequence number.
  *
- * @param atMillis when, in milliseconds
- * @param order the order among steps of the same time
- * @param step what happens
+ * @param atMillis when the action is due, in milliseconds
+ * @param order the sequence number, which orders actions that are due at the same time
+ * @param step the action
  */
 record ScheduledStep(long atMillis, long order, Runnable step)
         implements Comparable<ScheduledStep> {
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/VirtualTime.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/VirtualTime.java
@@ -4,31 +4,31 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Runs steps in the order of their times; time passes only between steps. Not safe for use by
- * several threads.
+ * Runs scheduled actions in the order of their times on a virtual clock. The clock advances only
+ * between actions; an action takes no virtual time. Not thread-safe.
  */
 public final class VirtualTime {
 
-    /** The steps to come. */
+    /** The scheduled actions that have not run, the earliest first. */
     private final PriorityQueue<ScheduledStep> steps = new PriorityQueue<>();
 
-    /** The time, in milliseconds. */
+    /** The virtual time, in milliseconds. */
     private long nowMillis;
 
-    /** The number of steps scheduled so far. */
+    /** The number of actions scheduled so far, from which sequence numbers are taken. */
     private long scheduled;
 
     /**
-     * Creates a clock.
+     * Creates a scheduler without actions.
      *
-     * @param startMillis the time at the start, in milliseconds
+     * @param startMillis the initial virtual time, in milliseconds
      */
     public VirtualTime(long startMillis) {
         this.nowMillis = startMillis;
     }
 
     /**
-     * Returns the time.
+     * Returns the virtual time.
      *
      * @return the time, in milliseconds
      */
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Schedules a step.
+     * Schedules an action. Actions that are due at the same time run in the order of these calls.
      *
-     * @param delayMillis how long from now, in milliseconds
-     * @param step what happens
+     * @param delayMillis the delay from now, in milliseconds
+     * @param step the action
      */
     public void after(long delayMillis, Runnable step) {
         scheduled++;
@@ -48,11 +48,12 @@
     }
 
     /**
-     * Runs steps until a time or until something holds.
+     * Runs actions until a point in time is reached or a condition holds.
      *
-     * @param endMillis the time to stop at, in milliseconds
-     * @param done tells after each step whether to stop
-     * @return whether it stopped before the time
+     * @param endMillis the point in virtual time to stop at, in milliseconds; actions that are due
+     *     at that time still run
+     * @param done the condition, checked after each action
+     * @return true if the condition held, false if the point in time was reached
      */
     public boolean run(long endMillis, BooleanSupplier done) {
         while (!steps.isEmpty() && steps.element().atMillis() <= endMillis) {
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Runs the steps of some time.
+     * Advances the virtual time and runs the actions that become due.
      *
-     * @param millis for how long, in milliseconds
+     * @param millis the time to advance by, in milliseconds
      */
     public void pass(long millis) {
         run(nowMillis + millis, () -> false);
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/package-info.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/package-info.java
@@ -1,4 +1,4 @@
-/** The paused clock of tests and measurements, with the steps that are to come. */
+/** Virtual time for tests and simulations: clocks and timers that advance only on request. */
 @NullMarked
 package org.damasktiller.standin.time;
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
@@ -10,10 +10,13 @@
 import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.jspecify.annotations.Nullable;
 
-/** The platform's records in a form of the tests' own. */
+/**
+ * Encodes and decodes the platform's records in a format of the tests, so that they do not depend
+ * on the real format. There is no manifest.
+ */
 final class ModelFormats implements PlatformRecordDecoder {
 
-    /** The prefix of the workers' entries. */
+    /** The prefix of the keys under which workers register. */
     static final String WORKERS = "workers/";
 
     @Override
@@ -49,15 +52,15 @@
     }
 
     /**
-     * Writes an entry.
+     * Encodes the entry of a worker.
      *
-     * @param id the identifier
-     * @param service the service
-     * @param address the address
-     * @param draining whether the worker is leaving
-     * @param capacity what it has
-     * @param born when its boot began, in milliseconds since 1970
-     * @return the bytes
+     * @param id the identifier of the worker
+     * @param service the service that the worker belongs to
+     * @param address the address of the worker, of which only the port is stored
+     * @param draining whether the worker is about to leave
+     * @param capacity the total resources of the worker
+     * @param born when the worker booted, in milliseconds since 1970
+     * @return the encoded entry
      */
     static byte[] encode(
             String id,
@@ -71,14 +74,14 @@
     }
 
     /**
-     * A stored entry.
+     * The entry of a worker as the tests store it.
      *
-     * @param id the identifier
-     * @param service the service
-     * @param port the port
-     * @param draining whether the worker is leaving
-     * @param capacity what it has
-     * @param born when its boot began, in milliseconds since 1970
+     * @param id the identifier of the worker
+     * @param service the service that the worker belongs to
+     * @param port the port of the worker on the loopback address
+     * @param draining whether the worker is about to leave
+     * @param capacity the total resources of the worker
+     * @param born when the worker booted, in milliseconds since 1970
      */
     public record Entry(
             String id, String service, int port, boolean draining, Resources capacity, long born) {}
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerFaultMatrixTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerFaultMatrixTest.java
@@ -15,31 +15,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Brings about every fault at every call of an owner, alone and with its death, and pairs of faults
- * drawn from fixed seeds: whatever happens, all work ends and nothing runs twice.
+ * Injects each fault into each early call of an owner, with and without killing the owner, and
+ * random faults from fixed seeds into any of its calls. In every case all short work must complete,
+ * and no task may run twice at the same time or start again after its end.
  */
 final class OwnerFaultMatrixTest {
 
-    /** The calls that may go wrong. */
+    /** The kinds of calls into which a fault is injected. */
     private static final List<String> CALLS =
             List.of("start", "stop", "hold", "commit", "read", "list");
 
-    /** The numbers of the call of a kind that goes wrong. */
+    /** The number of calls of each kind, from the first on, into which a fault is injected. */
     private static final int MOST_CALLS = 10;
 
-    /** When the first owner dies after the submissions, in milliseconds; zero for never. */
+    /**
+     * The times from the submissions until the first owner is killed, in milliseconds; 0 for never.
+     */
     private static final long[] KILL_TIMES = {0, 150, 900, 4_600};
 
-    /** The steps of a chain that is still running when late calls are carried out. */
+    /** The number of steps of a chain long enough to be still running when late calls arrive. */
     private static final int CHAIN = 14;
 
-    /** The submissions of a case. */
+    /** The number of submissions of two steps in each case. */
     private static final int JOBS = 4;
 
-    /** The submission that is a chain. */
+    /** The identifier of the submission with a chain of steps. */
     private static final String CHAIN_JOB = "00000000000000fe";
 
-    /** The seeds of the random cases. */
+    /** The number of random cases; their seeds count from 0. */
     private static final int SEEDS = 250;
 
     @Test
@@ -80,11 +83,11 @@
     }
 
     /**
-     * Makes a plan in which one call goes wrong.
+     * Creates a plan that injects a fault into a single call.
      *
      * @param call the kind of the call
-     * @param fate what becomes of it
-     * @param number which call of the kind it is, from 1
+     * @param fate the fault
+     * @param number the position of the call among the calls of that kind, from 1
      * @return the plan
      */
     private static FatePlan nth(String call, CallFate fate, int number) {
@@ -99,12 +102,14 @@
     }
 
     /**
-     * Runs a case.
+     * Runs a case and checks its outcome. If the first owner is killed or gives up, another one
+     * takes over.
      *
-     * @param name its name
-     * @param plan what becomes of the first owner's calls
-     * @param killAfterMillis when the first owner dies after the submissions, zero for never
-     * @return a line for each thing that is wrong
+     * @param name the name of the case, for the messages
+     * @param plan the faults of the first owner's calls
+     * @param killAfterMillis when the first owner is killed after the submissions, in milliseconds,
+     *     or 0 for never
+     * @return a message for each violation and each submission that did not succeed
      */
     private static List<String> run(String name, FatePlan plan, long killAfterMillis) {
         OwnerWorld world = new OwnerWorld(3);
@@ -143,7 +148,7 @@
     }
 
     /**
-     * Makes a chain of steps of one task.
+     * Creates a chain of steps, each of one task and dependent on the step before.
      *
      * @return the steps
      */
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
@@ -15,10 +15,10 @@
 import org.damasktiller.verification.owner.OwnerWorld.OwnerProcess;
 import org.junit.jupiter.api.Test;
 
-/** Tests the owner of a cell over single failures. */
+/** Tests the owner of a cell in scenarios with single failures of owners, workers and the store. */
 final class OwnerTest {
 
-    /** A submission. */
+    /** The identifier of the main submission of each test. */
     private static final String JOB = "00000000000000a1";
 
     @Test
@@ -33,8 +33,9 @@
     }
 
     /**
-     * A store that can't be written holds back the ends of four failed runs; a successor finds them
-     * listed by different workers in any order, and may start the task no more.
+     * The first owner cannot commit, so the ends of failed runs stay unacknowledged on the four
+     * workers. The next owner reads them in any order. It must count all of them and must not start
+     * the task again once its attempts are used up.
      */
     @Test
     void failedRunsListedInAnyOrderAllCount() {
@@ -85,8 +86,9 @@
     }
 
     /**
-     * The room kept for urgent work is not kept from a lasting task that has run before, even if
-     * its worker was lost while the owner changed.
+     * A part of each worker is reserved for urgent work and closed to new long-running tasks. A
+     * long-running task that has run before must be able to use it, even if its worker is lost
+     * during a change of the owner.
      */
     @Test
     void lastingTaskThatRanComesBackUnderTheNextOwner() {
@@ -134,7 +136,10 @@
         assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
     }
 
-    /** A listing of the store that is older than the close of a job must not bring it back. */
+    /**
+     * Compacting the store forces new listings, which may be older than the removal of a completed
+     * job. Such a listing must not make the owner start the job again.
+     */
     @Test
     void closedJobIsNotTakenFromAnOlderListing() {
         OwnerWorld world = new OwnerWorld(8);
@@ -156,8 +161,8 @@
     }
 
     /**
-     * A worker that is cut off keeps running what it has; a second change of the owner must not
-     * make the cell forget it, so that its tasks are not started twice.
+     * An unreachable worker keeps running its tasks until its lease expires. A second change of the
+     * owner must not make the cell forget that worker, or its tasks would run twice.
      */
     @Test
     void secondTakeoverStillWaitsForAWorkerThatIsCutOff() {
@@ -177,8 +182,9 @@
     }
 
     /**
-     * An owner is frozen, and wakes at a worker that its successor does not know and that no fence
-     * has reached: it may not lengthen the lease there beyond the time that its successor waits.
+     * An owner resumes after a freeze and can still reach a worker that its successor does not know
+     * and that has not seen the successor's fencing token. It must not extend that worker's lease
+     * beyond the time for which the successor waits.
      */
     @Test
     void ownerThatWakesDoesNotLengthenALeaseBeyondItsAuthority() {
@@ -198,8 +204,9 @@
     }
 
     /**
-     * An owner wakes and sees a submission that came after its successor's term began; it may not
-     * start it at a worker that no fence has reached.
+     * An owner resumes after a freeze and reads a submission that was accepted after its
+     * successor's term began. It must not start it on a worker that has not seen the successor's
+     * fencing token.
      */
     @Test
     void ownerThatWakesStartsNothingThatCameAfterItsTerm() {
@@ -221,9 +228,9 @@
     }
 
     /**
-     * Soak seed 235: a start reached the new life of a worker before its owner had heard of that
-     * life, and the next look acknowledged, by the numbers of the former life, an end that the
-     * owner had not seen; the task ran a second time.
+     * A worker restarts and executes a start before the owner learns of the restart. If the next
+     * heartbeat acknowledged a sequence number of the previous boot, the worker would discard an
+     * ended run that the owner has not seen, and the task would run again. Found by soak seed 235.
      */
     @Test
     void firstLookAtANewLifeAcknowledgesNothing() {
@@ -249,7 +256,10 @@
         assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
     }
 
-    /** A store that refuses one owner must not leave it sending orders that workers refuse. */
+    /**
+     * An owner whose calls the store refuses must give up when a worker fences it, rather than keep
+     * sending calls that workers refuse.
+     */
     @Test
     void ownerThatTheStoreRefusesEndsAtTheFirstFence() {
         OwnerWorld world = new OwnerWorld(2);
@@ -300,10 +310,11 @@
     }
 
     /**
-     * Makes a plan of a store of which from some time only new submissions are heard.
+     * Creates a plan that from some time on loses all calls to the store, except watches for new
+     * submissions.
      *
-     * @param world the world
-     * @param millis the time, in milliseconds
+     * @param world the simulation, by whose clock the plan decides
+     * @param millis the virtual time from which calls are lost, in milliseconds
      * @return the plan
      */
     private static FatePlan cutFromTheStoreAfter(OwnerWorld world, long millis) {
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
@@ -42,64 +42,64 @@
 import org.damasktiller.standin.time.PausedRuntime;
 import org.jspecify.annotations.Nullable;
 
-/** A store, some workers and the owners of one cell, on a paused clock. */
+/** A simulation of one cell, with its store, its workers and its owners, on a virtual clock. */
 final class OwnerWorld implements TaskBehaviour {
 
-    /** The cell, which is also the service. */
+    /** The name of the cell and of the service that its workers belong to. */
     static final String CELL = "dispatch";
 
-    /** The attempts of a task. */
+    /** The number of failed runs of a task after which its submission fails. */
     static final int ATTEMPTS = 3;
 
-    /** The processors of a worker, in millicores. */
+    /** The processors of a worker, in millicores; also its memory, in megabytes. */
     private static final long WORKER_CPU = 8_000;
 
-    /** The clock. */
+    /** The clock and timers of the simulation. */
     final PausedRuntime runtime = new PausedRuntime();
 
-    /** The store. */
+    /** The store of the cell. */
     final StoreModel store = new StoreModel(runtime);
 
     /** The workers by identifier. */
     final Map<String, WorkerModel> workers = new LinkedHashMap<>();
 
-    /** The workers that can't be reached. */
+    /** The identifiers of the workers that cannot be reached. */
     final Set<String> cut = FleetClient.nothingCut();
 
-    /** The check of what must never happen. */
+    /** Checks the safety properties on the events of the workers. */
     final RunAudit audit = new RunAudit(ATTEMPTS);
 
-    /** The lines of the log. */
+    /** The lines that owners have logged. */
     final List<String> lines = new ArrayList<>();
 
-    /** The submissions that were handed in. */
+    /** The submissions by identifier. */
     private final Map<String, Submission> submissions = new LinkedHashMap<>();
 
-    /** How long tasks run, in milliseconds, or LASTS. */
+    /** The duration of a short task on a worker that is not slow, in milliseconds. */
     long workMillis = 400;
 
-    /** How many times as long tasks run on a worker, for those that are slow. */
+    /** The factors by which short tasks take longer, by the identifier of the slow worker. */
     final Map<String, Integer> slowness = new LinkedHashMap<>();
 
-    /** The workers that fail all that they start. */
+    /** The identifiers of the workers on which all runs fail. */
     final Set<String> failing = FleetClient.nothingCut();
 
-    /** The submissions that always fail. */
+    /** The identifiers of the submissions of which all runs fail. */
     final Set<String> hopeless = FleetClient.nothingCut();
 
-    /** Whether the queue needs advice. */
+    /** Whether tasks may run only on workers that the advice service allows. */
     boolean adviceNeeded;
 
-    /** The workers that the advice service allows. */
+    /** The identifiers of the workers that the advice service allows. */
     final Set<String> advised = FleetClient.nothingCut();
 
-    /** The generation of the last owner. */
+    /** The generation of the owner that started last. */
     private long generation;
 
     /**
-     * Creates a world.
+     * Creates a cell without an owner.
      *
-     * @param count the number of workers
+     * @param count the number of workers, which are named w0, w1 and so on
      */
     OwnerWorld(int count) {
         for (int number = 0; number < count; number++) {
@@ -108,9 +108,9 @@
     }
 
     /**
-     * Adds a worker.
+     * Boots a worker and registers it.
      *
-     * @param id its identifier
+     * @param id the identifier of the worker
      */
     void addWorker(String id) {
         Resources capacity = new Resources(WORKER_CPU, WORKER_CPU, 0);
@@ -119,10 +119,10 @@
     }
 
     /**
-     * Writes the entry of a worker.
+     * Writes the entry of a worker to the store.
      *
-     * @param id its identifier
-     * @param draining whether it is leaving
+     * @param id the identifier of the worker
+     * @param draining whether the worker is about to leave
      */
     void register(String id, boolean draining) {
         WorkerModel model = workers.get(id);
@@ -142,19 +142,19 @@
     }
 
     /**
-     * Removes the entry of a worker.
+     * Removes the entry of a worker from the store; the worker keeps running.
      *
-     * @param id its identifier
+     * @param id the identifier of the worker
      */
     void unregister(String id) {
         store.commit(new StoreTransaction().remove(ModelFormats.WORKERS + id));
     }
 
     /**
-     * Hands in a submission.
+     * Stores a submission as accepted.
      *
-     * @param id its identifier
-     * @param steps the steps
+     * @param id the identifier of the submission
+     * @param steps the steps of the submission
      */
     void submit(String id, StepSpec... steps) {
         Submission submission = new Submission(id, "payload", List.of(steps), 0, 0, 0);
@@ -171,9 +171,9 @@
     }
 
     /**
-     * Cancels a submission.
+     * Stores a submission as cancelled.
      *
-     * @param id its identifier
+     * @param id the identifier of the submission
      */
     void cancel(String id) {
         SubmissionRecord record =
@@ -188,8 +188,8 @@
     /**
      * Returns the stored state of a submission.
      *
-     * @param id its identifier
-     * @return the state, or null if it is not stored
+     * @param id the identifier of the submission
+     * @return the state, or null if the submission is not stored
      */
     @Nullable SubmissionState state(String id) {
         byte[] value = store.value(CellKeys.submission(id));
@@ -199,20 +199,20 @@
     }
 
     /**
-     * Begins a new term with calm connections.
+     * Starts an owner with a new generation, whose calls are free of faults.
      *
-     * @return the owner's process
+     * @return the process of the owner
      */
     OwnerProcess own() {
         return own(FatePlan.CALM, FatePlan.CALM);
     }
 
     /**
-     * Begins a new term.
+     * Starts an owner with a new generation. Owners that run already are not stopped.
      *
-     * @param storeFates what becomes of calls to the store
-     * @param workerFates what becomes of calls to workers
-     * @return the owner's process
+     * @param storeFates the faults of the owner's calls to the store
+     * @param workerFates the faults of the owner's calls to workers
+     * @return the process of the owner
      */
     OwnerProcess own(FatePlan storeFates, FatePlan workerFates) {
         generation++;
@@ -249,9 +249,9 @@
     }
 
     /**
-     * Returns the workers at which a run was ordered.
+     * Returns the workers to which any owner has sent a start.
      *
-     * @return their identifiers
+     * @return the identifiers of the workers
      */
     Set<String> workersUsed() {
         Set<String> used = new TreeSet<>();
@@ -266,10 +266,10 @@
     }
 
     /**
-     * Counts the starts ordered at a worker.
+     * Counts the starts that owners have sent to a worker.
      *
-     * @param id its identifier
-     * @return the number
+     * @param id the identifier of the worker
+     * @return the number of starts, including those that the worker refused
      */
     int starts(String id) {
         return (int)
@@ -282,10 +282,10 @@
     }
 
     /**
-     * Makes a step of short tasks.
+     * Creates a step of short tasks.
      *
      * @param count the number of tasks
-     * @param after the numbers of the earlier steps
+     * @param after the numbers of the earlier steps that must complete first
      * @return the step
      */
     static StepSpec step(int count, Integer... after) {
@@ -293,7 +293,7 @@
     }
 
     /**
-     * Makes a step of lasting tasks.
+     * Creates a step of long-running tasks.
      *
      * @param count the number of tasks
      * @return the step
@@ -322,11 +322,11 @@
     }
 
     /**
-     * Makes a step.
+     * Creates a step.
      *
      * @param count the number of tasks
-     * @param lasting whether they last
-     * @param after the numbers of the earlier steps
+     * @param lasting whether the tasks are long-running
+     * @param after the numbers of the earlier steps that must complete first
      * @return the step
      */
     private static StepSpec spec(int count, boolean lasting, List<Integer> after) {
@@ -338,7 +338,7 @@
     }
 
     /**
-     * Makes the manifest.
+     * Creates a manifest with a single route.
      *
      * @return the manifest
      */
@@ -348,11 +348,12 @@
     }
 
     /**
-     * Answers as the advice service.
+     * Simulates the advice service, which answers after a time proportional to the number of
+     * workers.
      *
-     * @param step the step
-     * @param asked the workers
-     * @param answer takes the answer
+     * @param step the name of the step
+     * @param asked the identifiers of the candidate workers
+     * @param answer receives the reply
      */
     private void advise(String step, List<String> asked, Consumer<AdviceReply> answer) {
         Map<String, String> tickets = new LinkedHashMap<>();
@@ -366,39 +367,39 @@
     }
 
     /**
-     * Keeps a line of the log.
+     * Adds a line to the log.
      *
-     * @param event the kind of the event
-     * @param fields names and values by turns
+     * @param event the name of the event
+     * @param fields alternating names and values of the fields
      */
     private void log(String event, Object... fields) {
         lines.add(runtime.nowMillis() + " " + event + " " + List.of(fields));
     }
 
-    /** The process of an owner. */
+    /** The simulated process of an owner, which can be killed or frozen. */
     static final class OwnerProcess {
 
-        /** Its connection to the store. */
+        /** The connection to the store. */
         private final StoreClient storeClient;
 
-        /** Its connections to the workers. */
+        /** The connections to the workers. */
         private final FleetClient fleetClient;
 
-        /** Its clock. */
+        /** The clock and timers of the process. */
         final FreezableRuntime clock;
 
-        /** The owner, once it has been made. */
+        /** The owner, or null until it is created. */
         private @Nullable CellOwner owner;
 
-        /** Whether its term has ended. */
+        /** Whether the owner has ended its term by itself or was killed. */
         boolean ended;
 
         /**
-         * Creates a process.
+         * Creates a process without an owner.
          *
-         * @param storeClient its connection to the store
-         * @param fleetClient its connections to the workers
-         * @param clock its clock
+         * @param storeClient the connection to the store
+         * @param fleetClient the connections to the workers
+         * @param clock the clock and timers of the process
          */
         OwnerProcess(StoreClient storeClient, FleetClient fleetClient, FreezableRuntime clock) {
             this.storeClient = storeClient;
@@ -406,7 +407,7 @@
             this.clock = clock;
         }
 
-        /** Kills the process. */
+        /** Kills the process: the owner stops, and its connections are closed. */
         void kill() {
             storeClient.kill();
             fleetClient.kill();
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/StragglerTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/StragglerTest.java
@@ -9,13 +9,14 @@
 import org.damasktiller.scheduler.model.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Replays workers on which tasks stand still, or get on slowly, on a paused clock. */
+/** Tests how the owner of a cell handles slow workers and tasks, on a virtual clock. */
 class StragglerTest {
 
     private static final String JOB = "00000000000000d1";
 
     /**
-     * A task on a worker that hangs is stopped and done elsewhere, long before the worker is back.
+     * A task that makes almost no progress on its worker is stopped and completed by another
+     * worker, long before the slow run would complete.
      */
     @Test
     void taskThatStandsStillGoesOnElsewhere() {
@@ -28,7 +29,7 @@
         assertThat(world.audit.violations(), empty());
     }
 
-    /** Work that comes while a worker is known as slow goes to the others. */
+    /** Tasks submitted while a worker is known to be slow start on other workers. */
     @Test
     void newWorkGoesToWorkersThatAreNotSlow() {
         OwnerWorld world = new OwnerWorld(3);
@@ -42,7 +43,7 @@
         assertThat(world.starts("w0"), equalTo(before));
     }
 
-    /** A task that is merely larger than declared stays where it is. */
+    /** A task that only takes longer than its declared estimate stays on its worker. */
     @Test
     void taskThatIsLargerThanDeclaredIsNotMoved() {
         OwnerWorld world = new OwnerWorld(3);
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/package-info.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/package-info.java
@@ -1,4 +1,4 @@
-/** Failure tests of the owners of cells against stand-ins of the store and the workers. */
+/** Fault-injection tests of cell owners against a simulated store and simulated workers. */
 @NullMarked
 package org.damasktiller.verification.owner;
 
