--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -127,17 +127,17 @@
             long unixMillis = runtime.unixMillis();
             String route = request.route().name();
             byte[] record =
-                    StoredValueCodec.write(
+                    StoredValueCodec.encode(
                             new SubmissionRecord(cell, route, SubmissionState.QUEUED, unixMillis));
             byte[] accepted =
-                    StoredValueCodec.write(
+                    StoredValueCodec.encode(
                             new AcceptedSubmission(submission, route, service, unixMillis));
             String key = CellKeys.submission(request.id());
             this.commit =
                     new Commit()
                             .expect(key, StoreItem.ABSENT)
                             .put(key, record)
-                            .put(CellKeys.inbox(cell) + request.id(), accepted);
+                            .put(CellKeys.openSubmissionsPrefix(cell) + request.id(), accepted);
         }
 
         /** Sends the transaction, and answers at the latest when its time is over. */
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionQuestions.java
@@ -137,7 +137,7 @@
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         SubmissionRecord record =
-                item == null ? null : StoredValueCodec.read(item.value(), SubmissionRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), SubmissionRecord.class);
         if (item == null || record == null) {
             again(request, cancel, answer, result.status());
         } else if (record.state().isFinal() || !cancel) {
@@ -184,8 +184,8 @@
         Commit commit =
                 new Commit()
                         .expect(CellKeys.submission(request.id()), revision)
-                        .put(CellKeys.submission(request.id()), StoredValueCodec.write(cancelled))
-                        .remove(CellKeys.inbox(record.cell()) + request.id());
+                        .put(CellKeys.submission(request.id()), StoredValueCodec.encode(cancelled))
+                        .remove(CellKeys.openSubmissionsPrefix(record.cell()) + request.id());
         store.commit(commit, result -> onCancelled(request, answer, result));
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -141,7 +141,7 @@
         }
         StoreItem item = absent ? null : result.require().item();
         HeadRecord head =
-                item == null ? null : StoredValueCodec.read(item.value(), HeadRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), HeadRecord.class);
         long generation = head == null ? 1 : head.generation() + 1;
         long headRevision = item == null ? StoreItem.ABSENT : item.revision();
         OwnerRecord record = new OwnerRecord(identity.node(), identity.process(), generation);
@@ -149,10 +149,10 @@
                 new Commit()
                         .expect(CellKeys.owner(cell), ownerRevision)
                         .expect(CellKeys.head(cell), headRevision)
-                        .put(CellKeys.owner(cell), StoredValueCodec.write(record), session.lease())
+                        .put(CellKeys.owner(cell), StoredValueCodec.encode(record), session.lease())
                         .put(
                                 CellKeys.head(cell),
-                                StoredValueCodec.write(
+                                StoredValueCodec.encode(
                                         new HeadRecord(generation, 0, identity.node())));
         store.commit(commit, reply -> onCommitted(reply, record));
     }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
@@ -150,7 +150,7 @@
                 elections.computeIfAbsent(cell, this::election);
             }
         }
-        owned.values().forEach(owner -> owner.manifest(next));
+        owned.values().forEach(owner -> owner.updateManifest(next));
         considerAll();
     }
 
@@ -182,7 +182,7 @@
      */
     public @Nullable SubmissionState state(String cell, String id) {
         CellOwner owner = owned.get(cell);
-        return owner == null ? null : owner.state(id);
+        return owner == null ? null : owner.submissionState(id);
     }
 
     /**
@@ -232,7 +232,7 @@
                             parts.session().distanceMillis() <= NEAR_MILLIS);
             parts.store()
                     .commit(
-                            new Commit().put(key, StoredValueCodec.write(record), lease),
+                            new Commit().put(key, StoredValueCodec.encode(record), lease),
                             result -> onAnnounced(result.status()));
         }
         long pause = announcedMillis < 0 ? CONSIDER_MILLIS : ANNOUNCE_MILLIS;
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -20,7 +20,7 @@
 public final class ClusterView implements PrefixWatcher.Listener {
 
     /** The prefix of the keys by which processes show that they live. */
-    static final String NODES = CellKeys.PUBLISHED + "node/";
+    static final String NODES = CellKeys.PUBLIC_PREFIX + "node/";
 
     /** The pause between a change and the next call of the watch, in milliseconds. */
     private static final long GROUPING_MILLIS = 40;
@@ -55,7 +55,8 @@
             MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changed) {
         this.changed = changed;
         this.watch =
-                new PrefixWatcher(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatcher(
+                        CellKeys.PUBLIC_PREFIX, GROUPING_MILLIS, store, runtime, log, this);
     }
 
     /** Begins to follow. */
@@ -123,7 +124,7 @@
         } else {
             put(item);
         }
-        if (!event.key().startsWith(CellKeys.PENDING)) {
+        if (!event.key().startsWith(CellKeys.PENDING_PREFIX)) {
             changed.run();
         }
     }
@@ -135,20 +136,20 @@
      */
     private void put(StoreItem item) {
         String key = item.key();
-        if (key.startsWith(CellKeys.OWNERS)) {
-            OwnerRecord record = StoredValueCodec.read(item.value(), OwnerRecord.class);
+        if (key.startsWith(CellKeys.OWNER_PREFIX)) {
+            OwnerRecord record = StoredValueCodec.decode(item.value(), OwnerRecord.class);
             if (record != null) {
                 owners.put(
-                        key.substring(CellKeys.OWNERS.length()),
+                        key.substring(CellKeys.OWNER_PREFIX.length()),
                         new Owner(record, item.revision()));
             }
-        } else if (key.startsWith(CellKeys.PENDING)) {
-            PendingRecord record = StoredValueCodec.read(item.value(), PendingRecord.class);
+        } else if (key.startsWith(CellKeys.PENDING_PREFIX)) {
+            PendingRecord record = StoredValueCodec.decode(item.value(), PendingRecord.class);
             if (record != null) {
-                pending.put(key.substring(CellKeys.PENDING.length()), record);
+                pending.put(key.substring(CellKeys.PENDING_PREFIX.length()), record);
             }
         } else if (key.startsWith(NODES)) {
-            NodeRecord record = StoredValueCodec.read(item.value(), NodeRecord.class);
+            NodeRecord record = StoredValueCodec.decode(item.value(), NodeRecord.class);
             if (record != null) {
                 nodes.put(key.substring(NODES.length()), record);
             }
@@ -161,10 +162,10 @@
      * @param key the key
      */
     private void remove(String key) {
-        if (key.startsWith(CellKeys.OWNERS)) {
-            owners.remove(key.substring(CellKeys.OWNERS.length()));
-        } else if (key.startsWith(CellKeys.PENDING)) {
-            pending.remove(key.substring(CellKeys.PENDING.length()));
+        if (key.startsWith(CellKeys.OWNER_PREFIX)) {
+            owners.remove(key.substring(CellKeys.OWNER_PREFIX.length()));
+        } else if (key.startsWith(CellKeys.PENDING_PREFIX)) {
+            pending.remove(key.substring(CellKeys.PENDING_PREFIX.length()));
         } else if (key.startsWith(NODES)) {
             nodes.remove(key.substring(NODES.length()));
         }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -137,10 +137,10 @@
         CellLayout layout = new CellLayout(settings.zones());
         CellSettings cells =
                 CellSettings.builder()
-                        .impactMillis(settings.bounds().harmMillis())
+                        .maximumOverTargetMillis(settings.bounds().harmMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
-                        .longestWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
-                        .shortestStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
+                        .maximumWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
+                        .minimumStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
                         .build();
         cluster =
                 new Cluster(
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -43,7 +43,7 @@
     void storedSubmissionIsAccepted() {
         submit(List.of());
         assertThat(status(), equalTo(200));
-        assertThat(store.value(CellKeys.inbox("service") + ID), notNullValue());
+        assertThat(store.value(CellKeys.openSubmissionsPrefix("service") + ID), notNullValue());
     }
 
     @Test
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -3,13 +3,13 @@
 /**
  * A permission of the advice service to run the tasks of a step on a worker.
  *
- * @param text the ticket as the service returned it, sent along in the start order
+ * @param value the ticket as the service returned it, sent along in the start order
  * @param bornUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
  *     since 1970
  * @param validUntilMillis when the ticket must no longer be used, on the owner's monotonic clock,
  *     in milliseconds
  */
-record AdviceTicket(String text, long bornUnixMillis, long validUntilMillis) {
+record AdviceTicket(String value, long bornUnixMillis, long validUntilMillis) {
 
     /**
      * Returns whether a start order can carry the ticket now.
@@ -18,7 +18,7 @@
      * @param nowMillis the current time, in milliseconds
      * @return true if the worker has not restarted and the ticket has not expired
      */
-    boolean usable(WorkerRecord worker, long nowMillis) {
+    boolean isUsable(WorkerRecord worker, long nowMillis) {
         return worker.bornUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -20,7 +20,7 @@
      * The most workers in one call; a longer call would use up too much of a submission's
      * objective.
      */
-    private static final int WORKERS_ASKED = 30;
+    private static final int MAX_WORKERS_PER_REQUEST = 30;
 
     /** The delay before the next call after one that got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 150;
@@ -29,7 +29,7 @@
      * How long before its expiry a ticket is no longer used, in milliseconds: the time that a start
      * order takes to reach the worker.
      */
-    private static final long MARGIN_MILLIS = 250;
+    private static final long EXPIRY_MARGIN_MILLIS = 250;
 
     /** The shared state of the cell's owner. */
     private final CellContext context;
@@ -38,25 +38,25 @@
     private final AdviceCalls calls;
 
     /** Called when the service has answered a request. */
-    private final Runnable changed;
+    private final Runnable onAnswered;
 
     /** Whether a request is in flight. */
-    private boolean asking;
+    private boolean requestInFlight;
 
     /** The earliest time of the next request, in milliseconds. */
-    private long notBeforeMillis;
+    private long nextRequestAtMillis;
 
     /**
      * Creates a provider that has requested nothing yet.
      *
      * @param context the shared state of the cell's owner
      * @param calls sends the requests to the advice service
-     * @param changed called when the service has answered a request
+     * @param onAnswered called when the service has answered a request
      */
-    AdviceTicketProvider(CellContext context, AdviceCalls calls, Runnable changed) {
+    AdviceTicketProvider(CellContext context, AdviceCalls calls, Runnable onAnswered) {
         this.context = context;
         this.calls = calls;
-        this.changed = changed;
+        this.onAnswered = onAnswered;
     }
 
     /**
@@ -65,7 +65,7 @@
      * @param step the step
      * @return true if its route requires advice; false also if the manifest no longer has the route
      */
-    boolean needed(StepRecord step) {
+    boolean isRequired(StepRecord step) {
         Route route = context.manifest.byName(step.occurrence.job.accepted.route());
         return route != null && route.adviceNeeded();
     }
@@ -77,9 +77,9 @@
      * @param worker the worker
      * @return the ticket, empty if there is none or it can no longer be used
      */
-    String ticket(StepRecord step, WorkerRecord worker) {
+    String usableTicket(StepRecord step, WorkerRecord worker) {
         AdviceTicket ticket = step.tickets.get(worker.id);
-        return ticket != null && ticket.usable(worker, context.now()) ? ticket.text() : "";
+        return ticket != null && ticket.isUsable(worker, context.now()) ? ticket.value() : "";
     }
 
     /**
@@ -88,16 +88,17 @@
      *
      * @param step the step
      */
-    void ask(StepRecord step) {
+    void request(StepRecord step) {
         long now = context.now();
-        if (asking || now < notBeforeMillis) {
+        if (requestInFlight || now < nextRequestAtMillis) {
             return;
         }
         List<WorkerRecord> candidates = new ArrayList<>();
         for (WorkerRecord worker : context.allWorkers()) {
-            boolean fits = worker.free().covers(step.spec.reserved());
-            boolean open = !step.unadvised.contains(worker.id) && ticket(step, worker).isEmpty();
-            if (fits && open && worker.usable(now)) {
+            boolean hasCapacity = worker.free().covers(step.spec.reserved());
+            boolean ticketMissing =
+                    !step.unadvised.contains(worker.id) && usableTicket(step, worker).isEmpty();
+            if (hasCapacity && ticketMissing && worker.usable(now)) {
                 candidates.add(worker);
             }
         }
@@ -105,14 +106,14 @@
             return;
         }
         candidates.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
-        List<WorkerRecord> named =
-                candidates.subList(0, Math.min(WORKERS_ASKED, candidates.size()));
-        asking = true;
+        List<WorkerRecord> requested =
+                candidates.subList(0, Math.min(MAX_WORKERS_PER_REQUEST, candidates.size()));
+        requestInFlight = true;
         String name = step.occurrence.job.id() + '.' + step.occurrence.number + '.' + step.number;
         calls.ask(
                 name,
-                named.stream().map(worker -> worker.id).toList(),
-                reply -> onReply(step, name, List.copyOf(named), reply));
+                requested.stream().map(worker -> worker.id).toList(),
+                reply -> onReply(step, name, List.copyOf(requested), reply));
     }
 
     /**
@@ -121,13 +122,13 @@
      *
      * @param step the step
      * @param name the name of the step in the request, for the log
-     * @param named the workers in the request
+     * @param requested the workers in the request
      * @param reply the answer, or the reason why there is none
      */
     private void onReply(
-            StepRecord step, String name, List<WorkerRecord> named, AdviceReply reply) {
-        asking = false;
-        if (context.over) {
+            StepRecord step, String name, List<WorkerRecord> requested, AdviceReply reply) {
+        requestInFlight = false;
+        if (context.ended) {
             return;
         }
         long now = context.now();
@@ -136,7 +137,7 @@
                 "step",
                 name,
                 "asked",
-                named.size(),
+                requested.size(),
                 "allowed",
                 reply.tickets().size(),
                 "answered",
@@ -144,18 +145,20 @@
                 "reason",
                 reply.reason());
         if (!reply.answered()) {
-            notBeforeMillis = now + RETRY_MILLIS;
+            nextRequestAtMillis = now + RETRY_MILLIS;
             return;
         }
-        long until = now + reply.validMillis() - MARGIN_MILLIS;
-        for (WorkerRecord worker : named) {
-            String text = reply.tickets().get(worker.id);
-            if (text == null) {
+        long validUntilMillis = now + reply.validMillis() - EXPIRY_MARGIN_MILLIS;
+        for (WorkerRecord worker : requested) {
+            String ticket = reply.tickets().get(worker.id);
+            if (ticket == null) {
                 step.unadvised.add(worker.id);
             } else {
-                step.tickets.put(worker.id, new AdviceTicket(text, worker.bornUnixMillis, until));
+                step.tickets.put(
+                        worker.id,
+                        new AdviceTicket(ticket, worker.bornUnixMillis, validUntilMillis));
             }
         }
-        changed.run();
+        onAnswered.run();
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -57,28 +57,28 @@
     /**
      * Whether the term has ended; from then on no component sends, stores or schedules anything.
      */
-    boolean over;
+    boolean ended;
 
     /**
      * The workers that may still run tasks for previous owners: those of the stored roster that
      * have neither answered a poll with this owner's fencing token nor been removed.
      */
-    final Set<String> unsettled = new TreeSet<>();
+    final Set<String> unfencedWorkerIds = new TreeSet<>();
 
     /**
      * Whether previous owners can no longer start anything, because each of their workers has seen
      * this owner's fencing token or because all their leases have expired.
      */
-    boolean settled;
+    boolean previousOwnersFenced;
 
     /**
      * The submissions that this owner has closed, by identifier. A listing that the store had
      * already begun to return may still contain them, and they must not be admitted again.
      */
-    private final Set<String> closed = new HashSet<>();
+    private final Set<String> closedIds = new HashSet<>();
 
     /** Called once with the reason when the term ends. */
-    private final Consumer<String> ended;
+    private final Consumer<String> onTermEnd;
 
     /**
      * Creates the shared state of an owner that has not started.
@@ -86,9 +86,10 @@
      * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
      * @param term the term for which this node owns the cell
-     * @param ended called once with the reason when the term ends
+     * @param onTermEnd called once with the reason when the term ends
      */
-    CellContext(CellEnvironment environment, String cell, CellTerm term, Consumer<String> ended) {
+    CellContext(
+            CellEnvironment environment, String cell, CellTerm term, Consumer<String> onTermEnd) {
         this.cell = cell;
         this.term = term;
         this.settings = environment.settings();
@@ -98,7 +99,7 @@
         this.log = environment.log();
         this.manifest = environment.manifest();
         this.leases = new LeaseCalculator(settings);
-        this.ended = ended;
+        this.onTermEnd = onTermEnd;
     }
 
     /**
@@ -107,11 +108,11 @@
      *
      * @param reason why the term ends, for the log
      */
-    void end(String reason) {
-        if (!over) {
-            over = true;
+    void endTerm(String reason) {
+        if (!ended) {
+            ended = true;
             log.log("owner.ended", "cell", cell, "generation", term.generation(), "reason", reason);
-            ended.accept(reason);
+            onTermEnd.accept(reason);
         }
     }
 
@@ -134,7 +135,7 @@
         runtime.schedule(
                 delayMillis,
                 () -> {
-                    if (!over) {
+                    if (!ended) {
                         action.run();
                     }
                 });
@@ -146,9 +147,9 @@
      *
      * @param job the job
      */
-    void remove(Job job) {
+    void removeJob(Job job) {
         jobs.remove(job.id());
-        closed.add(job.id());
+        closedIds.add(job.id());
     }
 
     /**
@@ -157,8 +158,8 @@
      * @param id the identifier of the submission
      * @return true if this owner has already seen the submission
      */
-    boolean known(String id) {
-        return jobs.containsKey(id) || closed.contains(id);
+    boolean isKnown(String id) {
+        return jobs.containsKey(id) || closedIds.contains(id);
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellKeys.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellKeys.java
@@ -7,19 +7,19 @@
      * The prefix of the keys that every process watches: the owners and pending counts of all
      * cells.
      */
-    public static final String PUBLISHED = "public/";
+    public static final String PUBLIC_PREFIX = "public/";
 
     /**
      * The prefix of the owner keys, one per cell; each is deleted when its owner's store lease
      * ends.
      */
-    public static final String OWNERS = PUBLISHED + "owner/";
+    public static final String OWNER_PREFIX = PUBLIC_PREFIX + "owner/";
 
     /** The prefix of the pending counts, one key per cell; see {@link PendingRecord}. */
-    public static final String PENDING = PUBLISHED + "pending/";
+    public static final String PENDING_PREFIX = PUBLIC_PREFIX + "pending/";
 
     /** The prefix of the submission records, which are found without knowing the cell. */
-    private static final String SUBMISSIONS = "submission/";
+    private static final String SUBMISSION_PREFIX = "submission/";
 
     /** Prevents instantiation. */
     private CellKeys() {}
@@ -31,7 +31,7 @@
      * @return the key
      */
     public static String submission(String id) {
-        return SUBMISSIONS + id;
+        return SUBMISSION_PREFIX + id;
     }
 
     /**
@@ -41,7 +41,7 @@
      * @return the key
      */
     public static String owner(String cell) {
-        return OWNERS + cell;
+        return OWNER_PREFIX + cell;
     }
 
     /**
@@ -51,7 +51,7 @@
      * @return the key
      */
     public static String pending(String cell) {
-        return PENDING + cell;
+        return PENDING_PREFIX + cell;
     }
 
     /**
@@ -81,7 +81,7 @@
      * @param cell the name of the cell
      * @return the prefix
      */
-    public static String inbox(String cell) {
+    public static String openSubmissionsPrefix(String cell) {
         return "open/" + cell + '/';
     }
 
@@ -91,7 +91,7 @@
      * @param cell the name of the cell
      * @return the prefix
      */
-    public static String progress(String cell) {
+    public static String progressPrefix(String cell) {
         return "progress/" + cell + '/';
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellLayout.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellLayout.java
@@ -15,10 +15,10 @@
      * The most zones that one cell spans: the largest deployment that one small VM has been run
      * with.
      */
-    private static final int MOST_ZONES_TOGETHER = 3;
+    private static final int MAX_ZONES_PER_CELL = 3;
 
     /** Separates the service from the zone in the name of a cell. */
-    private static final char SEPARATOR = '@';
+    private static final char ZONE_SEPARATOR = '@';
 
     /** The names of the deployment's zones. */
     private final Set<String> zones;
@@ -41,7 +41,7 @@
      * @return the name of the cell
      */
     public String cellOf(String service, String zone) {
-        return zones.size() <= MOST_ZONES_TOGETHER ? service : service + SEPARATOR + zone;
+        return zones.size() <= MAX_ZONES_PER_CELL ? service : service + ZONE_SEPARATOR + zone;
     }
 
     /**
@@ -65,7 +65,7 @@
      * @return the name of the zone, empty if the cell spans all zones
      */
     public String zoneOf(String cell) {
-        int at = cell.indexOf(SEPARATOR);
-        return at < 0 ? "" : cell.substring(at + 1);
+        int separatorIndex = cell.indexOf(ZONE_SEPARATOR);
+        return separatorIndex < 0 ? "" : cell.substring(separatorIndex + 1);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -26,13 +26,13 @@
 public final class CellOwner {
 
     /** The delay before a failed read is tried again, in milliseconds. */
-    private static final long RETRY_MILLIS = 100;
+    private static final long READ_RETRY_MILLIS = 100;
 
     /** The time between two publications of the pending counts, in milliseconds. */
-    private static final long PUBLISH_MILLIS = 500;
+    private static final long PUBLISH_INTERVAL_MILLIS = 500;
 
     /** How long a worker gets no new tasks after a failed poll, in milliseconds. */
-    private static final long MISSED_LOOK_MILLIS = 400;
+    private static final long FAILED_POLL_AVOID_MILLIS = 400;
 
     /** The shared state of the cell's owner. */
     private final CellContext context;
@@ -71,10 +71,10 @@
     private boolean loaded;
 
     /** Whether a pass over the waiting tasks is scheduled. */
-    private boolean passPlanned;
+    private boolean passScheduled;
 
     /** The pending counts published last; a value that matches no counts after a failure. */
-    private Map<String, Integer> published = Map.of();
+    private Map<String, Integer> publishedCounts = Map.of();
 
     /**
      * Creates an owner that has not started.
@@ -82,32 +82,33 @@
      * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
      * @param term the term for which this process owns the cell
-     * @param member decides which workers belong to the cell
-     * @param ended called once with the reason when the term ends
+     * @param belongsToCell decides which workers belong to the cell
+     * @param onEnd called once with the reason when the term ends
      */
     public CellOwner(
             CellEnvironment environment,
             String cell,
             CellTerm term,
-            Predicate<WorkerEntry> member,
-            Consumer<String> ended) {
-        context = new CellContext(environment, cell, term, reason -> ended(reason, ended));
+            Predicate<WorkerEntry> belongsToCell,
+            Consumer<String> onEnd) {
+        context = new CellContext(environment, cell, term, reason -> onTermEnded(reason, onEnd));
         RunTimes runTimes = new RunTimes();
-        ownership = new OwnershipVerifier(context, this::planPass);
-        RunOrders orders = new RunOrders(context, this::planPass, this::fenced);
-        commits = new CommitQueue(context, new Commits());
+        ownership = new OwnershipVerifier(context, this::schedulePass);
+        RunOrders orders = new RunOrders(context, this::schedulePass, this::onFenced);
+        commits = new CommitQueue(context, new CommitListener());
         book = new JobBook(context, commits, orders, runTimes);
-        poller = new WorkerPoller(context, book, orders, new Looks());
+        poller = new WorkerPoller(context, book, orders, new PollListener());
         fillers = new FillerControl(context, orders, new PairEffects());
         AdviceTicketProvider advice =
-                new AdviceTicketProvider(context, environment.advice(), this::planPass);
+                new AdviceTicketProvider(context, environment.advice(), this::schedulePass);
         Placement placement = new Placement(context, fillers, advice);
         stragglers = new StragglerControl(context, placement, orders, runTimes);
         drainController = new DrainController(context, orders, runTimes);
         pass = new StartPass(context, placement, orders, runTimes, advice, ownership);
-        submissionWatcher = new SubmissionWatcher(context, new Submissions());
+        submissionWatcher = new SubmissionWatcher(context, new SubmissionListener());
         workerWatcher =
-                new WorkerEntryWatcher(context, environment.formats(), member, new Workers());
+                new WorkerEntryWatcher(
+                        context, environment.formats(), belongsToCell, new WorkerListener());
     }
 
     /** Starts to load the cell; tasks are scheduled once all records have been read. */
@@ -128,7 +129,7 @@
      *
      * @param manifest the new manifest
      */
-    public void manifest(Manifest manifest) {
+    public void updateManifest(Manifest manifest) {
         context.manifest = manifest;
     }
 
@@ -138,7 +139,7 @@
      * @param reason why the term ends, for the log
      */
     public void stop(String reason) {
-        context.end(reason);
+        context.endTerm(reason);
     }
 
     /**
@@ -147,9 +148,9 @@
      * @param id the identifier of the submission
      * @return the state, or null if the submission is not open in this cell or the term has ended
      */
-    public @Nullable SubmissionState state(String id) {
+    public @Nullable SubmissionState submissionState(String id) {
         Job job = context.jobs.get(id);
-        return job == null || context.over ? null : job.state;
+        return job == null || context.ended ? null : job.state;
     }
 
     /**
@@ -158,7 +159,7 @@
      * @param reason why the term ended
      * @param listener called with the reason
      */
-    private void ended(String reason, Consumer<String> listener) {
+    private void onTermEnded(String reason, Consumer<String> listener) {
         submissionWatcher.close();
         workerWatcher.close();
         listener.accept(reason);
@@ -168,8 +169,8 @@
      * Ends the term after a worker has seen a higher fencing token, which only a successor can
      * have.
      */
-    private void fenced() {
-        context.end("a worker has seen a higher fencing token");
+    private void onFenced() {
+        context.endTerm("a worker has seen a higher fencing token");
     }
 
     /** Reads the stored progress, then the roster, then the worker entries. */
@@ -177,7 +178,7 @@
         ProgressReader reader = new ProgressReader();
         reader.watcher =
                 new PrefixWatcher(
-                        CellKeys.progress(context.cell),
+                        CellKeys.progressPrefix(context.cell),
                         0,
                         context.store,
                         context.runtime,
@@ -197,18 +198,18 @@
      * @param result the reading of the roster
      */
     private void onRoster(StoreResult<StoreReading> result) {
-        if (context.over) {
+        if (context.ended) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            context.schedule(RETRY_MILLIS, this::loadRoster);
+            context.schedule(READ_RETRY_MILLIS, this::loadRoster);
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         RosterRecord roster =
-                item == null ? null : StoredValueCodec.read(item.value(), RosterRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), RosterRecord.class);
         if (roster != null) {
-            context.unsettled.addAll(roster.workers());
+            context.unfencedWorkerIds.addAll(roster.workers());
         }
         loaded = true;
         context.log.log(
@@ -218,14 +219,14 @@
                 "jobs",
                 context.jobs.size(),
                 "roster",
-                context.unsettled.size(),
+                context.unfencedWorkerIds.size(),
                 "millis",
-                context.now() - context.term.beganMillis());
-        settle();
+                context.now() - context.term.startedAtMillis());
+        checkPreviousOwners();
         workerWatcher.start();
         ownership.start();
         tick();
-        publish();
+        publishCounts();
     }
 
     /**
@@ -236,47 +237,50 @@
         long now = context.now();
         boolean changed = false;
         for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
-            poller.expire(worker);
-            drainController.judge(worker);
+            poller.expireRuns(worker);
+            drainController.update(worker);
             boolean gone =
                     !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
             if (gone) {
                 context.workers.remove(worker.id);
-                context.unsettled.remove(worker.id);
+                context.unfencedWorkerIds.remove(worker.id);
                 context.log.log("worker.gone", "worker", worker.id);
                 changed = true;
             }
         }
         if (changed) {
-            commits.changeRoster();
+            commits.enqueueRoster();
         }
-        settle();
-        planPass();
-        context.schedule(context.settings.passIntervalMillis() * 2, this::tick);
+        checkPreviousOwners();
+        schedulePass();
+        context.schedule(context.settings.halfTickMillis() * 2, this::tick);
     }
 
     /**
      * Checks whether previous owners can no longer start anything. Once that is so, submissions
      * from before this term may be scheduled and the run ends of previous owners acknowledged.
      */
-    private void settle() {
-        if (context.settled || !loaded) {
+    private void checkPreviousOwners() {
+        if (context.previousOwnersFenced || !loaded) {
             return;
         }
-        boolean over = context.now() >= context.leases.formerLeasesOver(context.term.beganMillis());
-        if (over || context.unsettled.isEmpty()) {
-            context.settled = true;
+        boolean leasesExpired =
+                context.now()
+                        >= context.leases.previousLeasesExpireAtMillis(
+                                context.term.startedAtMillis());
+        if (leasesExpired || context.unfencedWorkerIds.isEmpty()) {
+            context.previousOwnersFenced = true;
             context.log.log(
                     "owner.settled",
                     "cell",
                     context.cell,
                     "byTime",
-                    !context.unsettled.isEmpty(),
+                    !context.unfencedWorkerIds.isEmpty(),
                     "millis",
-                    context.now() - context.term.beganMillis());
-            context.unsettled.clear();
-            commits.acknowledge();
-            planPass();
+                    context.now() - context.term.startedAtMillis());
+            context.unfencedWorkerIds.clear();
+            commits.advanceAcknowledgements();
+            schedulePass();
         }
     }
 
@@ -284,13 +288,13 @@
      * Schedules a pass over the waiting tasks unless one is scheduled or the cell is not loaded
      * yet.
      */
-    private void planPass() {
-        if (!passPlanned && loaded && !context.over) {
-            passPlanned = true;
+    private void schedulePass() {
+        if (!passScheduled && loaded && !context.ended) {
+            passScheduled = true;
             context.schedule(
                     1,
                     () -> {
-                        passPlanned = false;
+                        passScheduled = false;
                         pass.run();
                     });
         }
@@ -299,31 +303,31 @@
     /**
      * Publishes the pending counts of the cell if they have changed, and schedules the next check.
      */
-    private void publish() {
+    private void publishCounts() {
         Map<String, Integer> counts = book.pending();
-        if (!counts.equals(published)) {
-            published = counts;
+        if (!counts.equals(publishedCounts)) {
+            publishedCounts = counts;
             Commit commit = new Commit();
             commit.expect(CellKeys.owner(context.cell), context.term.headRevision());
             commit.put(
                     CellKeys.pending(context.cell),
-                    StoredValueCodec.write(new PendingRecord(counts)));
+                    StoredValueCodec.encode(new PendingRecord(counts)));
             context.store.commit(
                     commit,
                     result -> {
                         if (result.status() != StoreStatus.OK) {
-                            published = Map.of("", -1);
+                            publishedCounts = Map.of("", -1);
                         }
                     });
         }
-        context.schedule(PUBLISH_MILLIS, this::publish);
+        context.schedule(PUBLISH_INTERVAL_MILLIS, this::publishCounts);
     }
 
     /** Applies the effects of commits. */
-    private final class Commits implements CommitQueue.Listener {
+    private final class CommitListener implements CommitQueue.Listener {
 
         @Override
-        public void onTaken(Job job) {
+        public void onCancelled(Job job) {
             book.cancel(job);
         }
 
@@ -333,38 +337,38 @@
         }
 
         @Override
-        public void onAcknowledgeable(WorkerRecord worker) {
-            poller.look(worker);
+        public void onEndsStored(WorkerRecord worker) {
+            poller.poll(worker);
         }
     }
 
     /** Applies the results of polls. */
-    private final class Looks implements WorkerPoller.Listener {
+    private final class PollListener implements WorkerPoller.Listener {
 
         @Override
-        public void onLook(WorkerRecord worker, boolean first) {
+        public void onPollAnswered(WorkerRecord worker, boolean first) {
             if (first) {
-                context.unsettled.remove(worker.id);
-                settle();
-                ownership.renew();
+                context.unfencedWorkerIds.remove(worker.id);
+                checkPreviousOwners();
+                ownership.verify();
             }
             fillers.judge(worker);
             stragglers.judge(worker);
-            planPass();
+            schedulePass();
         }
 
         @Override
-        public void onMissedLook(WorkerRecord worker, WorkerReply reply) {
+        public void onPollFailed(WorkerRecord worker, WorkerReply reply) {
             if (reply.status() == WorkerStatus.FENCED) {
-                fenced();
+                onFenced();
             }
             worker.avoidUntilMillis =
-                    Math.max(worker.avoidUntilMillis, context.now() + MISSED_LOOK_MILLIS);
+                    Math.max(worker.avoidUntilMillis, context.now() + FAILED_POLL_AVOID_MILLIS);
         }
     }
 
     /** Applies new and cancelled submissions. */
-    private final class Submissions implements SubmissionWatcher.Listener {
+    private final class SubmissionListener implements SubmissionWatcher.Listener {
 
         @Override
         public void onSnapshot() {
@@ -385,19 +389,19 @@
                     "revision",
                     job.createdRevision);
             if (loaded) {
-                ownership.renew();
+                ownership.verify();
             }
         }
 
         @Override
-        public void onRemoved(Job job) {
+        public void onCancelled(Job job) {
             book.cancel(job);
-            planPass();
+            schedulePass();
         }
     }
 
     /** Applies new and changed workers. */
-    private final class Workers implements WorkerEntryWatcher.Listener {
+    private final class WorkerListener implements WorkerEntryWatcher.Listener {
 
         @Override
         public void onSnapshot() {
@@ -405,18 +409,18 @@
         }
 
         @Override
-        public void onNew(WorkerRecord worker) {
-            commits.changeRoster();
-            poller.look(worker);
+        public void onAdded(WorkerRecord worker) {
+            commits.enqueueRoster();
+            poller.poll(worker);
         }
 
         @Override
-        public void onUpdate(WorkerRecord worker, WorkerEntry before) {
+        public void onUpdated(WorkerRecord worker, WorkerEntry previousEntry) {
             long born = worker.entry.bornUnixMillis();
             if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
-                poller.restarted(worker, born);
+                poller.onRestart(worker, born);
             }
-            poller.look(worker);
+            poller.poll(worker);
         }
     }
 
@@ -433,10 +437,11 @@
             if (watcher != null) {
                 watcher.close();
             }
-            String prefix = CellKeys.progress(context.cell);
+            String prefix = CellKeys.progressPrefix(context.cell);
             for (StoreItem item : items) {
                 Job job = context.jobs.get(item.key().substring(prefix.length()));
-                ProgressRecord progress = StoredValueCodec.read(item.value(), ProgressRecord.class);
+                ProgressRecord progress =
+                        StoredValueCodec.decode(item.value(), ProgressRecord.class);
                 if (job != null && progress != null) {
                     progress.restore(job);
                     job.progressStored = true;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
@@ -14,34 +14,34 @@
     /**
      * How long after an ownership check the owner may still extend worker leases, in milliseconds.
      */
-    private final long authorityMillis;
+    private final long ownershipValidityMillis;
 
     /** How long a worker may delay its answer to a poll until a run ends, in milliseconds. */
-    private final long lookWaitMillis;
+    private final long pollWaitMillis;
 
     /** The delay before a worker is polled again after a failed poll, in milliseconds. */
-    private final long lookRetryMillis;
+    private final long pollRetryMillis;
 
     /** The shortest time between two commits, in milliseconds. */
     private final long commitIntervalMillis;
 
     /** The time between two ownership checks, in milliseconds. */
-    private final long confirmIntervalMillis;
+    private final long ownershipCheckIntervalMillis;
 
     /**
      * Half the time between two ticks of the owner, in milliseconds; each tick schedules a pass
      * over the waiting tasks.
      */
-    private final long passIntervalMillis;
+    private final long halfTickMillis;
 
     /** How long before its due time an occurrence may start, in milliseconds. */
-    private final long earlyMillis;
+    private final long earlyStartMillis;
 
     /**
      * How long a serving task may exceed its target latency before fillers must pause, in
      * milliseconds.
      */
-    private final long impactMillis;
+    private final long maximumOverTargetMillis;
 
     /**
      * How many times as long a step takes if it runs away from its data, or a gang if it spans
@@ -57,14 +57,14 @@
     private CellSettings(Builder builder) {
         workerLeaseMillis = builder.workerLeaseMillis;
         storeLeaseMillis = builder.storeLeaseMillis;
-        authorityMillis = builder.authorityMillis;
-        lookWaitMillis = builder.lookWaitMillis;
-        lookRetryMillis = builder.lookRetryMillis;
+        ownershipValidityMillis = builder.ownershipValidityMillis;
+        pollWaitMillis = builder.pollWaitMillis;
+        pollRetryMillis = builder.pollRetryMillis;
         commitIntervalMillis = builder.commitIntervalMillis;
-        confirmIntervalMillis = builder.confirmIntervalMillis;
-        passIntervalMillis = builder.passIntervalMillis;
-        earlyMillis = builder.earlyMillis;
-        impactMillis = builder.impactMillis;
+        ownershipCheckIntervalMillis = builder.ownershipCheckIntervalMillis;
+        halfTickMillis = builder.halfTickMillis;
+        earlyStartMillis = builder.earlyStartMillis;
+        maximumOverTargetMillis = builder.maximumOverTargetMillis;
         remoteFactor = builder.remoteFactor;
     }
 
@@ -101,8 +101,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long authorityMillis() {
-        return authorityMillis;
+    public long ownershipValidityMillis() {
+        return ownershipValidityMillis;
     }
 
     /**
@@ -110,8 +110,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long lookWaitMillis() {
-        return lookWaitMillis;
+    public long pollWaitMillis() {
+        return pollWaitMillis;
     }
 
     /**
@@ -119,8 +119,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long lookRetryMillis() {
-        return lookRetryMillis;
+    public long pollRetryMillis() {
+        return pollRetryMillis;
     }
 
     /**
@@ -137,8 +137,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long confirmIntervalMillis() {
-        return confirmIntervalMillis;
+    public long ownershipCheckIntervalMillis() {
+        return ownershipCheckIntervalMillis;
     }
 
     /**
@@ -147,8 +147,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long passIntervalMillis() {
-        return passIntervalMillis;
+    public long halfTickMillis() {
+        return halfTickMillis;
     }
 
     /**
@@ -156,8 +156,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long earlyMillis() {
-        return earlyMillis;
+    public long earlyStartMillis() {
+        return earlyStartMillis;
     }
 
     /**
@@ -165,8 +165,8 @@
      *
      * @return the time, in milliseconds
      */
-    public long impactMillis() {
-        return impactMillis;
+    public long maximumOverTargetMillis() {
+        return maximumOverTargetMillis;
     }
 
     /**
@@ -197,28 +197,28 @@
         /**
          * The default validity of an ownership check: it bridges a store outage of several seconds.
          */
-        private long authorityMillis = 7_000;
+        private long ownershipValidityMillis = 7_000;
 
         /** The default wait of a poll: it yields two measurements per task and second. */
-        private long lookWaitMillis = 500;
+        private long pollWaitMillis = 500;
 
         /** The default delay after a failed poll: twice the round trip between regions. */
-        private long lookRetryMillis = 120;
+        private long pollRetryMillis = 120;
 
         /** The default time between commits: they use 1/14 of the smallest store's write rate. */
         private long commitIntervalMillis = 35;
 
         /** The default time between ownership checks: a quarter of the default store lease. */
-        private long confirmIntervalMillis = 500;
+        private long ownershipCheckIntervalMillis = 500;
 
         /** The default half tick: short compared with the shortest task. */
-        private long passIntervalMillis = 25;
+        private long halfTickMillis = 25;
 
         /** The default lead of occurrences: 0, no occurrence starts before its due time. */
-        private long earlyMillis;
+        private long earlyStartMillis;
 
         /** The default limit of the time over target, given by the platform's documentation. */
-        private long impactMillis = 4_000;
+        private long maximumOverTargetMillis = 4_000;
 
         /** The default slowdown of steps away from their data and of gangs across racks. */
         private double remoteFactor = 2;
@@ -243,7 +243,7 @@
          * @param millis the longest lease that workers accept, in milliseconds
          * @return this builder
          */
-        public Builder longestWorkerLeaseMillis(long millis) {
+        public Builder maximumWorkerLeaseMillis(long millis) {
             workerLeaseMillis = Math.min(workerLeaseMillis, millis);
             return this;
         }
@@ -254,7 +254,7 @@
          * @param millis the shortest lease that the store grants, in milliseconds
          * @return this builder
          */
-        public Builder shortestStoreLeaseMillis(long millis) {
+        public Builder minimumStoreLeaseMillis(long millis) {
             storeLeaseMillis = Math.max(storeLeaseMillis, millis);
             return this;
         }
@@ -266,8 +266,8 @@
          * @param millis the time, in milliseconds
          * @return this builder
          */
-        public Builder authorityMillis(long millis) {
-            authorityMillis = millis;
+        public Builder ownershipValidityMillis(long millis) {
+            ownershipValidityMillis = millis;
             return this;
         }
 
@@ -277,8 +277,8 @@
          * @param millis the time, in milliseconds
          * @return this builder
          */
-        public Builder lookWaitMillis(long millis) {
-            lookWaitMillis = millis;
+        public Builder pollWaitMillis(long millis) {
+            pollWaitMillis = millis;
             return this;
         }
 
@@ -288,8 +288,8 @@
          * @param millis the time, in milliseconds
          * @return this builder
          */
-        public Builder impactMillis(long millis) {
-            impactMillis = millis;
+        public Builder maximumOverTargetMillis(long millis) {
+            maximumOverTargetMillis = millis;
             return this;
         }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
@@ -8,13 +8,14 @@
  * @param owner the value stored under the owner key
  * @param headRevision the revision of the transaction that won the election, which wrote the owner
  *     key and the head key
- * @param beganMillis when this process learnt that it had won, on its monotonic clock, in
+ * @param startedAtMillis when this process learnt that it had won, on its monotonic clock, in
  *     milliseconds
  */
-public record CellTerm(long generation, OwnerRecord owner, long headRevision, long beganMillis) {
+public record CellTerm(
+        long generation, OwnerRecord owner, long headRevision, long startedAtMillis) {
 
     /** How many run numbers each term has for each task. */
-    private static final int RUNS_PER_TERM = 1_000;
+    private static final int RUN_NUMBERS_PER_TERM = 1_000;
 
     /**
      * Returns the run number before the first run of this term. It is no lower than any run number
@@ -22,7 +23,7 @@
      *
      * @return the run number before the first one that this term may use
      */
-    int runBase() {
-        return (int) (generation - 1) * RUNS_PER_TERM;
+    int runNumberBase() {
+        return (int) (generation - 1) * RUN_NUMBERS_PER_TERM;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -28,13 +28,13 @@
      * The most rows of a transaction, given by the platform's documentation; each condition, write
      * and removal is a row.
      */
-    private static final int MOST_ROWS = 32;
+    private static final int MAX_TRANSACTION_ROWS = 32;
 
     /** The rows for the head, its condition and the roster, which are reserved in each batch. */
-    private static final int FIXED_ROWS = 3;
+    private static final int RESERVED_ROWS = 3;
 
     /** The most rows of a finished job: its record, the condition on it, and two removals. */
-    private static final int FINAL_ROWS = 4;
+    private static final int FINISHED_JOB_ROWS = 4;
 
     /** The delay after a call that was refused or got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 60;
@@ -46,7 +46,7 @@
     private final Listener listener;
 
     /** The jobs whose changes are not in a batch yet, in the order of their first change. */
-    private final Set<Job> changed = new LinkedHashSet<>();
+    private final Set<Job> queuedJobs = new LinkedHashSet<>();
 
     /** The revision of the head key after the last batch that was stored. */
     private long headRevision;
@@ -55,16 +55,16 @@
     private long sequence;
 
     /** The batch whose outcome is not known yet, or null. */
-    private @Nullable Group group;
+    private @Nullable Batch batchInFlight;
 
     /** Whether the next batch is scheduled. */
-    private boolean planned;
+    private boolean sendScheduled;
 
     /** When the last batch was sent, in milliseconds. */
     private long sentAtMillis;
 
     /** Whether the roster has changed since the last batch that contains it. */
-    private boolean rosterChanged;
+    private boolean rosterQueued;
 
     /**
      * Creates an empty queue.
@@ -83,16 +83,16 @@
      *
      * @param job the job that has changed
      */
-    void change(Job job) {
+    void enqueue(Job job) {
         job.version++;
-        changed.add(job);
-        plan();
+        queuedJobs.add(job);
+        scheduleSend();
     }
 
     /** Queues the roster for the next batch after a worker was added or removed. */
-    void changeRoster() {
-        rosterChanged = true;
-        plan();
+    void enqueueRoster() {
+        rosterQueued = true;
+        scheduleSend();
     }
 
     /**
@@ -101,69 +101,69 @@
      *
      * @param job the job
      */
-    void forget(Job job) {
-        changed.remove(job);
+    void discard(Job job) {
+        queuedJobs.remove(job);
         job.committedVersion = job.version;
     }
 
     /** Schedules the next batch unless one is scheduled or in flight. */
-    private void plan() {
-        if (planned || group != null || context.over) {
+    private void scheduleSend() {
+        if (sendScheduled || batchInFlight != null || context.ended) {
             return;
         }
-        planned = true;
+        sendScheduled = true;
         long wait = sentAtMillis + context.settings.commitIntervalMillis() - context.now();
-        context.schedule(Math.max(1, wait), this::send);
+        context.schedule(Math.max(1, wait), this::sendNext);
     }
 
     /** Builds the next batch from the queued changes and sends it. */
-    private void send() {
-        planned = false;
-        if (group != null || (changed.isEmpty() && !rosterChanged)) {
+    private void sendNext() {
+        sendScheduled = false;
+        if (batchInFlight != null || (queuedJobs.isEmpty() && !rosterQueued)) {
             return;
         }
         sequence++;
-        Group next = new Group(sequence);
-        Commit commit = next.commit;
+        Batch batch = new Batch(sequence);
+        Commit commit = batch.commit;
         commit.expect(CellKeys.head(context.cell), headRevision);
         commit.put(
                 CellKeys.head(context.cell),
-                StoredValueCodec.write(
+                StoredValueCodec.encode(
                         new HeadRecord(
                                 context.term.generation(), sequence, context.term.owner().node())));
-        if (rosterChanged) {
-            rosterChanged = false;
-            addRoster(next);
+        if (rosterQueued) {
+            rosterQueued = false;
+            addRoster(batch);
         }
-        int rows = FIXED_ROWS;
-        for (Job job : new ArrayList<>(changed)) {
-            int needed = job.state.isFinal() ? FINAL_ROWS : 1;
-            if (rows + needed > MOST_ROWS) {
+        int rows = RESERVED_ROWS;
+        for (Job job : new ArrayList<>(queuedJobs)) {
+            int needed = job.state.isFinal() ? FINISHED_JOB_ROWS : 1;
+            if (rows + needed > MAX_TRANSACTION_ROWS) {
                 break;
             }
             rows += needed;
-            changed.remove(job);
-            next.add(job);
-            add(commit, job);
+            queuedJobs.remove(job);
+            batch.add(job);
+            addJob(commit, job);
         }
-        group = next;
-        dispatch();
+        batchInFlight = batch;
+        sendBatch();
     }
 
     /**
      * Adds the roster to a batch: the present workers and those that previous owners may still use.
      *
-     * @param next the batch
+     * @param batch the batch
      */
-    private void addRoster(Group next) {
-        Set<String> ids = new TreeSet<>(context.unsettled);
+    private void addRoster(Batch batch) {
+        Set<String> ids = new TreeSet<>(context.unfencedWorkerIds);
         for (WorkerRecord worker : context.allWorkers()) {
             ids.add(worker.id);
-            next.enrolled.add(worker);
+            batch.rosterWorkers.add(worker);
         }
-        next.commit.put(
+        batch.commit.put(
                 CellKeys.roster(context.cell),
-                StoredValueCodec.write(new RosterRecord(List.copyOf(ids))));
+                StoredValueCodec.encode(new RosterRecord(List.copyOf(ids))));
     }
 
     /**
@@ -173,54 +173,54 @@
      * @param commit the transaction
      * @param job the job
      */
-    private void add(Commit commit, Job job) {
-        String progress = CellKeys.progress(context.cell) + job.id();
+    private void addJob(Commit commit, Job job) {
+        String progress = CellKeys.progressPrefix(context.cell) + job.id();
         if (!job.state.isFinal()) {
             job.progressStored = true;
-            commit.put(progress, StoredValueCodec.write(ProgressRecord.of(job)));
+            commit.put(progress, StoredValueCodec.encode(ProgressRecord.of(job)));
             return;
         }
         String key = CellKeys.submission(job.id());
         commit.expect(key, job.createdRevision);
         commit.put(
                 key,
-                StoredValueCodec.write(
+                StoredValueCodec.encode(
                         new SubmissionRecord(
                                 context.cell,
                                 job.accepted.route(),
                                 job.state,
                                 context.runtime.unixMillis())));
-        commit.remove(CellKeys.inbox(context.cell) + job.id());
+        commit.remove(CellKeys.openSubmissionsPrefix(context.cell) + job.id());
         if (job.progressStored) {
             commit.remove(progress);
         }
     }
 
     /** Sends the current batch, for the first time or again after a failure. */
-    private void dispatch() {
-        Group sent = group;
-        if (sent == null || context.over) {
+    private void sendBatch() {
+        Batch batch = batchInFlight;
+        if (batch == null || context.ended) {
             return;
         }
         sentAtMillis = context.now();
-        context.store.commit(sent.commit, result -> onReply(sent, result));
+        context.store.commit(batch.commit, result -> onReply(batch, result));
     }
 
     /**
      * Handles the answer to a batch.
      *
-     * @param sent the batch
+     * @param batch the batch
      * @param result the answer
      */
-    private void onReply(Group sent, StoreResult<CommitReply> result) {
-        if (context.over || group != sent) {
+    private void onReply(Batch batch, StoreResult<CommitReply> result) {
+        if (context.ended || batchInFlight != batch) {
             return;
         }
         switch (result.status()) {
-            case OK -> finish(sent, result.require().revision());
-            case CONFLICT -> resolve(sent, result.value());
-            case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(sent));
-            default -> context.schedule(RETRY_MILLIS, this::dispatch);
+            case OK -> onBatchStored(batch, result.require().revision());
+            case CONFLICT -> onConflict(batch, result.value());
+            case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(batch));
+            default -> context.schedule(RETRY_MILLIS, this::sendBatch);
         }
     }
 
@@ -229,37 +229,37 @@
      * the batch is dissolved and its jobs are queued again, finished ones after their record was
      * checked.
      *
-     * @param sent the batch
+     * @param batch the batch
      * @param reply the current items, or null if the answer did not include them
      */
-    private void resolve(Group sent, @Nullable CommitReply reply) {
+    private void onConflict(Batch batch, @Nullable CommitReply reply) {
         context.log.log(
                 "commit.conflict",
                 "cell",
                 context.cell,
                 "sequence",
-                sent.sequence,
+                batch.sequence,
                 "jobs",
-                sent.versions.size(),
+                batch.versions.size(),
                 "conditions",
-                sent.commit.expected().size(),
+                batch.commit.expected().size(),
                 "told",
                 reply == null ? 0 : reply.current().size());
         if (reply == null || reply.currentRevision(CellKeys.head(context.cell)) != headRevision) {
-            readHead(sent);
+            readHead(batch);
             return;
         }
-        group = null;
-        for (Job job : sent.versions.keySet()) {
+        batchInFlight = null;
+        for (Job job : batch.versions.keySet()) {
             if (job.state.isFinal()) {
-                verify(job);
+                checkRecord(job);
             } else {
-                changed.add(job);
+                queuedJobs.add(job);
             }
         }
-        rosterChanged = rosterChanged || !sent.enrolled.isEmpty();
-        acknowledge();
-        plan();
+        rosterQueued = rosterQueued || !batch.rosterWorkers.isEmpty();
+        advanceAcknowledgements();
+        scheduleSend();
     }
 
     /**
@@ -268,7 +268,7 @@
      *
      * @param job the finished job
      */
-    private void verify(Job job) {
+    private void checkRecord(Job job) {
         context.store.read(CellKeys.submission(job.id()), result -> onRecord(job, result));
     }
 
@@ -280,33 +280,33 @@
      * @param result the reading of its record
      */
     private void onRecord(Job job, StoreResult<StoreReading> result) {
-        if (context.over) {
+        if (context.ended) {
             return;
         }
         boolean absent = result.status() == StoreStatus.ABSENT;
         if (result.status() != StoreStatus.OK && !absent) {
-            context.schedule(RETRY_MILLIS, () -> verify(job));
+            context.schedule(RETRY_MILLIS, () -> checkRecord(job));
             return;
         }
         StoreItem item = absent ? null : result.require().item();
         if (item != null && item.revision() == job.createdRevision) {
-            changed.add(job);
+            queuedJobs.add(job);
         } else {
-            forget(job);
-            listener.onTaken(job);
-            acknowledge();
+            discard(job);
+            listener.onCancelled(job);
+            advanceAcknowledgements();
         }
-        plan();
+        scheduleSend();
     }
 
     /**
      * Reads the head to find out whether a batch was stored.
      *
-     * @param sent the batch whose outcome is unknown
+     * @param batch the batch whose outcome is unknown
      */
-    private void readHead(Group sent) {
-        if (!context.over && group == sent) {
-            context.store.read(CellKeys.head(context.cell), result -> onHead(sent, result));
+    private void readHead(Batch batch) {
+        if (!context.ended && batchInFlight == batch) {
+            context.store.read(CellKeys.head(context.cell), result -> onHead(batch, result));
         }
     }
 
@@ -314,28 +314,28 @@
      * Determines from the head whether a batch was stored. Sends the batch again if it was not, and
      * ends the term if another process has changed the head.
      *
-     * @param sent the batch whose outcome is unknown
+     * @param batch the batch whose outcome is unknown
      * @param result the reading of the head
      */
-    private void onHead(Group sent, StoreResult<StoreReading> result) {
-        if (context.over || group != sent) {
+    private void onHead(Batch batch, StoreResult<StoreReading> result) {
+        if (context.ended || batchInFlight != batch) {
             return;
         }
         if (result.status() != StoreStatus.OK) {
-            context.schedule(RETRY_MILLIS, () -> readHead(sent));
+            context.schedule(RETRY_MILLIS, () -> readHead(batch));
             return;
         }
         StoreItem item = result.require().item();
         HeadRecord head =
-                item == null ? null : StoredValueCodec.read(item.value(), HeadRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), HeadRecord.class);
         if (item == null || head == null || head.generation() != context.term.generation()) {
-            context.end("the head belongs to another generation");
-        } else if (head.sequence() == sent.sequence) {
-            finish(sent, item.revision());
+            context.endTerm("the head belongs to another generation");
+        } else if (head.sequence() == batch.sequence) {
+            onBatchStored(batch, item.revision());
         } else if (item.revision() == headRevision) {
-            dispatch();
+            sendBatch();
         } else {
-            context.end("the head was changed by another process of this generation");
+            context.endTerm("the head was changed by another process of this generation");
         }
     }
 
@@ -343,36 +343,37 @@
      * Marks the changes of a batch as stored and schedules the next batch if more changes are
      * queued.
      *
-     * @param sent the batch
+     * @param batch the batch
      * @param revision the revision of the head key that the batch wrote
      */
-    private void finish(Group sent, long revision) {
-        group = null;
+    private void onBatchStored(Batch batch, long revision) {
+        batchInFlight = null;
         headRevision = revision;
-        sent.versions.forEach(
+        batch.versions.forEach(
                 (job, version) -> {
                     job.committedVersion = Math.max(job.committedVersion, version);
                     if (job.state.isFinal() && job.committedVersion == job.version) {
                         listener.onStored(job);
                     }
                 });
-        for (WorkerRecord worker : sent.enrolled) {
+        for (WorkerRecord worker : batch.rosterWorkers) {
             worker.enrolled = true;
         }
-        acknowledge();
-        if (!changed.isEmpty() || rosterChanged) {
-            plan();
+        advanceAcknowledgements();
+        if (!queuedJobs.isEmpty() || rosterQueued) {
+            scheduleSend();
         }
     }
 
     /** Advances the acknowledgements of all workers over the run ends whose effects are stored. */
-    void acknowledge() {
+    void advanceAcknowledgements() {
         Collection<WorkerRecord> workers = context.allWorkers();
         for (WorkerRecord worker : workers) {
             if (!worker.pendingEnds.isEmpty()) {
-                worker.advanceAcknowledgement(context.settled, context.term.runBase());
+                worker.advanceAcknowledgement(
+                        context.previousOwnersFenced, context.term.runNumberBase());
                 if (worker.pendingEnds.isEmpty()) {
-                    listener.onAcknowledgeable(worker);
+                    listener.onEndsStored(worker);
                 }
             }
         }
@@ -387,7 +388,7 @@
          *
          * @param job the job
          */
-        void onTaken(Job job);
+        void onCancelled(Job job);
 
         /**
          * Called when the final state of a job is stored.
@@ -402,11 +403,11 @@
          *
          * @param worker the worker
          */
-        void onAcknowledgeable(WorkerRecord worker);
+        void onEndsStored(WorkerRecord worker);
     }
 
     /** The changes that are stored in one transaction. */
-    private static final class Group {
+    private static final class Batch {
 
         /** The number of the batch in the term. */
         private final long sequence;
@@ -420,14 +421,14 @@
         /**
          * The workers in the roster that the batch stores, empty if it does not store the roster.
          */
-        private final List<WorkerRecord> enrolled = new ArrayList<>();
+        private final List<WorkerRecord> rosterWorkers = new ArrayList<>();
 
         /**
          * Creates an empty batch.
          *
          * @param sequence the number of the batch in the term
          */
-        Group(long sequence) {
+        Batch(long sequence) {
             this.sequence = sequence;
         }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -13,7 +13,7 @@
 final class DrainController {
 
     /** How long before the worker leaves its checkpointing runs are stopped, in milliseconds. */
-    private static final long SAVE_AHEAD_MILLIS = 1_000;
+    private static final long CHECKPOINT_STOP_LEAD_MILLIS = 1_000;
 
     /** The shared state of the cell's owner. */
     private final CellContext context;
@@ -43,7 +43,7 @@
      *
      * @param worker the worker
      */
-    void judge(WorkerRecord worker) {
+    void update(WorkerRecord worker) {
         if (!worker.entry.draining()) {
             worker.drainingSinceMillis = RunRecord.UNKNOWN;
             return;
@@ -52,12 +52,12 @@
         if (worker.drainingSinceMillis == RunRecord.UNKNOWN) {
             worker.drainingSinceMillis = now;
         }
-        long left = worker.drainingSinceMillis + worker.entry.remainingMillis() - now;
+        long untilLeaveMillis = worker.drainingSinceMillis + worker.entry.remainingMillis() - now;
         for (RunRecord run : new ArrayList<>(worker.runs.values())) {
             TaskRecord task = run.task;
             if (task != null
                     && run.phase == RunPhase.RUNNING
-                    && mustMove(run, task.step.spec, left, now)) {
+                    && mustMove(run, task.step.spec, untilLeaveMillis, now)) {
                 orders.stop(run);
             }
         }
@@ -68,16 +68,18 @@
      *
      * @param run the run, which is active
      * @param spec the step of the run
-     * @param leftMillis the shortest time until the worker leaves, in milliseconds
+     * @param untilLeaveMillis the shortest time until the worker leaves, in milliseconds
      * @param now the current time, in milliseconds
      * @return true if the run belongs to a lasting task, or can resume from a checkpoint and is not
      *     expected to finish before the worker leaves
      */
-    private boolean mustMove(RunRecord run, StepSpec spec, long leftMillis, long now) {
+    private boolean mustMove(RunRecord run, StepSpec spec, long untilLeaveMillis, long now) {
         if (spec.lasting()) {
             return true;
         }
-        long open = run.sinceMillis + runTimes.expectedMillis(spec) - now;
-        return spec.checkpointing() && leftMillis < SAVE_AHEAD_MILLIS && open > leftMillis;
+        long untilDoneMillis = run.sinceMillis + runTimes.expectedMillis(spec) - now;
+        return spec.checkpointing()
+                && untilLeaveMillis < CHECKPOINT_STOP_LEAD_MILLIS
+                && untilDoneMillis > untilLeaveMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerControl.java
@@ -163,7 +163,7 @@
                 harm.set(false, now);
                 worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
             }
-        } else if (longestOver >= context.settings.impactMillis() * PAUSE_AT) {
+        } else if (longestOver >= context.settings.maximumOverTargetMillis() * PAUSE_AT) {
             harm.set(true, now);
             context.log.log("filler.pause", "worker", worker.id, "overMillis", longestOver);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobBook.java
@@ -70,7 +70,7 @@
         }
         if (task.step.spec.lasting() && !task.everRan) {
             task.everRan = true;
-            commits.change(job);
+            commits.enqueue(job);
         }
     }
 
@@ -111,7 +111,7 @@
                     "sequence",
                     end.sequence());
             take(task, worker, end);
-            commits.change(job);
+            commits.enqueue(job);
             finishIfOver(job);
         }
         return new PendingEnd(end.sequence(), end.run(), job, job.version);
@@ -150,8 +150,8 @@
     void cancel(Job job) {
         context.log.log("job.cancelled", "id", job.id(), "cell", context.cell);
         job.state = SubmissionState.CANCELLED;
-        commits.forget(job);
-        context.remove(job);
+        commits.discard(job);
+        context.removeJob(job);
         stopAll(job);
     }
 
@@ -161,7 +161,7 @@
      * @param job the job
      */
     void close(Job job) {
-        context.remove(job);
+        context.removeJob(job);
         context.log.log(
                 "job.closed",
                 "route",
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -16,10 +16,10 @@
      * The lowest rate of a worker's clock relative to the owner's, given by the platform's
      * documentation.
      */
-    private static final double SLOWEST_RATE = 0.98;
+    private static final double MINIMUM_CLOCK_RATE = 0.98;
 
     /** Added to each waiting time against rounding, in milliseconds. */
-    private static final long MARGIN_MILLIS = 50;
+    private static final long ROUNDING_MARGIN_MILLIS = 50;
 
     /** The lease and authority times. */
     private final CellSettings settings;
@@ -41,8 +41,8 @@
      * @return the end on the worker's clock, in milliseconds
      */
     long leaseEnd(WorkerRecord worker, long nowMillis) {
-        long wanted = earliestClock(worker, nowMillis) + settings.workerLeaseMillis();
-        return Math.min(wanted, worker.provenClockMillis + settings.authorityMillis());
+        long wanted = lowestWorkerClock(worker, nowMillis) + settings.workerLeaseMillis();
+        return Math.min(wanted, worker.provenClockMillis + settings.ownershipValidityMillis());
     }
 
     /**
@@ -53,20 +53,21 @@
      * @param leaseEnd the end on the worker's clock, in milliseconds
      * @param nowMillis the current time on the owner's clock, in milliseconds
      */
-    void noteGrant(WorkerRecord worker, long leaseEnd, long nowMillis) {
-        long span = Math.max(0, leaseEnd - earliestClock(worker, nowMillis));
-        worker.leaseOverAtMillis = Math.max(worker.leaseOverAtMillis, nowMillis + stretched(span));
+    void recordGrant(WorkerRecord worker, long leaseEnd, long nowMillis) {
+        long workerMillis = Math.max(0, leaseEnd - lowestWorkerClock(worker, nowMillis));
+        worker.leaseOverAtMillis =
+                Math.max(worker.leaseOverAtMillis, nowMillis + toOwnerMillis(workerMillis));
     }
 
     /**
      * Computes when all leases of previous owners have certainly expired, even on a worker with the
      * slowest clock.
      *
-     * @param termBeganMillis when this owner learnt that it had won its term, in milliseconds
+     * @param termStartedAtMillis when this owner learnt that it had won its term, in milliseconds
      * @return the time on the owner's clock, in milliseconds
      */
-    long formerLeasesOver(long termBeganMillis) {
-        return termBeganMillis + stretched(settings.authorityMillis());
+    long previousLeasesExpireAtMillis(long termStartedAtMillis) {
+        return termStartedAtMillis + toOwnerMillis(settings.ownershipValidityMillis());
     }
 
     /**
@@ -76,19 +77,19 @@
      * @param nowMillis the current time on the owner's clock, in milliseconds
      * @return the lowest value, in milliseconds
      */
-    private static long earliestClock(WorkerRecord worker, long nowMillis) {
+    private static long lowestWorkerClock(WorkerRecord worker, long nowMillis) {
         long elapsed = Math.max(0, nowMillis - worker.clockReadAtMillis);
-        return worker.clockMillis + (long) (elapsed * SLOWEST_RATE);
+        return worker.clockMillis + (long) (elapsed * MINIMUM_CLOCK_RATE);
     }
 
     /**
      * Converts a duration on a worker's clock to the longest duration on the owner's clock that it
      * can correspond to.
      *
-     * @param span the duration on the worker's clock, in milliseconds
+     * @param workerMillis the duration on the worker's clock, in milliseconds
      * @return the longest duration on the owner's clock, in milliseconds
      */
-    private static long stretched(long span) {
-        return (long) Math.ceil(span / SLOWEST_RATE) + MARGIN_MILLIS;
+    private static long toOwnerMillis(long workerMillis) {
+        return (long) Math.ceil(workerMillis / MINIMUM_CLOCK_RATE) + ROUNDING_MARGIN_MILLIS;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipVerifier.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipVerifier.java
@@ -17,19 +17,19 @@
     private final CellContext context;
 
     /** The value that the owner key must have. */
-    private final byte[] expected;
+    private final byte[] expectedValue;
 
     /** Called after each successful check. */
-    private final Runnable proven;
+    private final Runnable onVerified;
 
     /** The store revision of the last successful check; newer changes may belong to a successor. */
-    private long provenRevision;
+    private long verifiedRevision;
 
     /** Whether a read is in flight. */
-    private boolean reading;
+    private boolean readInFlight;
 
     /** Whether another check was requested while a read was in flight. */
-    private boolean again;
+    private boolean verifyAgain;
 
     /** Whether the last read failed, so that further failures are not logged. */
     private boolean failing;
@@ -38,30 +38,30 @@
      * Creates a verifier that has not started.
      *
      * @param context the shared state of the cell's owner
-     * @param proven called after each successful check
+     * @param onVerified called after each successful check
      */
-    OwnershipVerifier(CellContext context, Runnable proven) {
+    OwnershipVerifier(CellContext context, Runnable onVerified) {
         this.context = context;
-        this.expected = StoredValueCodec.write(context.term.owner());
-        this.proven = proven;
+        this.expectedValue = StoredValueCodec.encode(context.term.owner());
+        this.onVerified = onVerified;
     }
 
     /** Checks the ownership now and at regular intervals from then on. */
     void start() {
-        renew();
-        context.schedule(context.settings.confirmIntervalMillis(), this::start);
+        verify();
+        context.schedule(context.settings.ownershipCheckIntervalMillis(), this::start);
     }
 
     /** Checks the ownership now, or again as soon as the check in flight has ended. */
-    void renew() {
-        if (context.over) {
+    void verify() {
+        if (context.ended) {
             return;
         }
-        if (reading) {
-            again = true;
+        if (readInFlight) {
+            verifyAgain = true;
             return;
         }
-        reading = true;
+        readInFlight = true;
         for (WorkerRecord worker : context.allWorkers()) {
             worker.candidateClockMillis = worker.clockMillis;
         }
@@ -76,7 +76,7 @@
      * @return true if a check at this revision or a later one has succeeded
      */
     boolean covers(long revision) {
-        return revision <= provenRevision;
+        return revision <= verifiedRevision;
     }
 
     /**
@@ -85,14 +85,14 @@
      * @param result the reading
      */
     private void onReading(StoreResult<StoreReading> result) {
-        reading = false;
-        if (context.over) {
+        readInFlight = false;
+        if (context.ended) {
             return;
         }
         if (result.status() == StoreStatus.OK) {
-            judge(result.require());
+            checkOwner(result.require());
         } else if (result.status() == StoreStatus.ABSENT) {
-            context.end("the owner key no longer exists");
+            context.endTerm("the owner key no longer exists");
         } else if (!failing) {
             failing = true;
             context.log.log(
@@ -104,9 +104,9 @@
                     "reason",
                     result.reason());
         }
-        if (again && !context.over) {
-            again = false;
-            renew();
+        if (verifyAgain && !context.ended) {
+            verifyAgain = false;
+            verify();
         }
     }
 
@@ -116,19 +116,19 @@
      *
      * @param reading the reading of the owner key
      */
-    private void judge(StoreReading reading) {
+    private void checkOwner(StoreReading reading) {
         StoreItem item = reading.item();
-        if (item == null || !Arrays.equals(item.value(), expected)) {
-            context.end("another process owns the cell");
+        if (item == null || !Arrays.equals(item.value(), expectedValue)) {
+            context.endTerm("another process owns the cell");
             return;
         }
         failing = false;
-        provenRevision =
-                Math.max(provenRevision, Math.max(reading.storeRevision(), item.revision()));
+        verifiedRevision =
+                Math.max(verifiedRevision, Math.max(reading.storeRevision(), item.revision()));
         for (WorkerRecord worker : context.allWorkers()) {
             worker.provenClockMillis =
                     Math.max(worker.provenClockMillis, worker.candidateClockMillis);
         }
-        proven.run();
+        onVerified.run();
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Placement.java
@@ -87,7 +87,7 @@
     @Nullable WorkerRecord choose(TaskRecord task) {
         WorkerRecord best = null;
         double bestScore = WORST_SCORE;
-        boolean adviceNeeded = advice.needed(task.step);
+        boolean adviceNeeded = advice.isRequired(task.step);
         for (WorkerRecord worker : context.allWorkers()) {
             if (!allowed(task, worker, adviceNeeded)
                     || !worker.free().covers(task.step.spec.reserved())) {
@@ -133,7 +133,7 @@
         List<WorkerRecord> order = new ArrayList<>(context.allWorkers());
         order.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
         Resources need = step.spec.reserved();
-        boolean adviceNeeded = advice.needed(step);
+        boolean adviceNeeded = advice.isRequired(step);
         for (TaskRecord task : step.tasks) {
             for (WorkerRecord worker : order) {
                 int here = taken.getOrDefault(worker, 0);
@@ -197,7 +197,7 @@
         if (worker.conduct.onProbation() && !worker.runs.isEmpty()) {
             return false;
         }
-        boolean advised = !adviceNeeded || !advice.ticket(task.step, worker).isEmpty();
+        boolean advised = !adviceNeeded || !advice.usableTicket(task.step, worker).isEmpty();
         return advised && spread(task.step, worker) && roomBeside(task, worker);
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatcher.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PrefixWatcher.java
@@ -57,7 +57,7 @@
      * The revision after which changes are requested: first that of the first page, then of the
      * last answer.
      */
-    private long lowestRevision;
+    private long watchRevision;
 
     /** The highest revision of the pages read since the last start. */
     private long highestRevision;
@@ -97,9 +97,9 @@
     /** Reads all keys, then watches for changes; also restarts after a failure. */
     public void start() {
         items = new ArrayList<>();
-        lowestRevision = 0;
+        watchRevision = 0;
         highestRevision = 0;
-        list("");
+        readPage("");
     }
 
     /** Stops watching; the listener is not called again. */
@@ -112,7 +112,7 @@
      *
      * @param after the last key of the previous page, empty for the first page
      */
-    private void list(String after) {
+    private void readPage(String after) {
         if (!closed) {
             store.list(prefix, after, this::onPage);
         }
@@ -136,23 +136,23 @@
         noteSuccess();
         StorePage page = result.require();
         items.addAll(page.items());
-        if (lowestRevision == 0) {
-            lowestRevision = page.storeRevision();
+        if (watchRevision == 0) {
+            watchRevision = page.storeRevision();
         }
         highestRevision = Math.max(highestRevision, page.storeRevision());
         if (page.more() && !page.items().isEmpty()) {
-            list(page.items().get(page.items().size() - 1).key());
+            readPage(page.items().get(page.items().size() - 1).key());
             return;
         }
         listener.onSnapshot(items, highestRevision);
         items = new ArrayList<>();
-        await();
+        awaitChanges();
     }
 
     /** Requests the changes since the last answer and waits for one if there are none. */
-    private void await() {
+    private void awaitChanges() {
         if (!closed) {
-            store.watch(prefix, lowestRevision, WAIT_MILLIS, this::onChanges);
+            store.watch(prefix, watchRevision, WAIT_MILLIS, this::onChanges);
         }
     }
 
@@ -166,20 +166,20 @@
             return;
         }
         if (result.status() == StoreStatus.COMPACTED) {
-            log.log("watch.compacted", "prefix", prefix, "revision", lowestRevision);
+            log.log("watch.compacted", "prefix", prefix, "revision", watchRevision);
             start();
             return;
         }
         if (result.status() != StoreStatus.OK) {
             noteFailure(result.status(), result.reason());
-            runtime.schedule(RETRY_MILLIS, this::await);
+            runtime.schedule(RETRY_MILLIS, this::awaitChanges);
             return;
         }
         noteSuccess();
         StoreChanges changes = result.require();
-        lowestRevision = Math.max(lowestRevision, changes.storeRevision());
+        watchRevision = Math.max(watchRevision, changes.storeRevision());
         if (changes.events().isEmpty()) {
-            await();
+            awaitChanges();
             return;
         }
         for (StoreEvent event : changes.events()) {
@@ -187,7 +187,7 @@
                 listener.onChange(event);
             }
         }
-        runtime.schedule(groupingMillis, this::await);
+        runtime.schedule(groupingMillis, this::awaitChanges);
     }
 
     /**
@@ -207,7 +207,7 @@
     private void noteSuccess() {
         if (failing) {
             failing = false;
-            log.log("watch.regained", "prefix", prefix, "revision", lowestRevision);
+            log.log("watch.regained", "prefix", prefix, "revision", watchRevision);
         }
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
@@ -74,7 +74,7 @@
         record.startCheckpoint = task.checkpoint;
         worker.add(record);
         long leaseEnd = context.leases.leaseEnd(worker, now);
-        context.leases.noteGrant(worker, leaseEnd, now);
+        context.leases.recordGrant(worker, leaseEnd, now);
         StartOrder order =
                 new StartOrder(
                         task.id,
@@ -113,7 +113,7 @@
     private void onStart(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
         worker.ordersInFlight--;
-        if (context.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -197,7 +197,7 @@
      * @param record the run
      */
     void sendStop(RunRecord record) {
-        if (record.stopSent || record.stopAcknowledged || context.over) {
+        if (record.stopSent || record.stopAcknowledged || context.ended) {
             return;
         }
         record.stopSent = true;
@@ -218,7 +218,7 @@
     private void onStop(RunRecord record, WorkerReply reply) {
         record.stopSent = false;
         WorkerRecord worker = record.worker;
-        if (context.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -244,7 +244,7 @@
      * @param record the run, whose wanted share differs from the present one
      */
     void pace(RunRecord record) {
-        if (record.pacing || context.over) {
+        if (record.pacing || context.ended) {
             return;
         }
         record.pacing = true;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StartPass.java
@@ -91,7 +91,7 @@
     void run() {
         started = 0;
         List<Waiting> steps = new ArrayList<>();
-        long unixLimit = context.runtime.unixMillis() + context.settings.earlyMillis();
+        long unixLimit = context.runtime.unixMillis() + context.settings.earlyStartMillis();
         for (Job job : context.jobs.values()) {
             if (!mayStart(job)) {
                 continue;
@@ -125,7 +125,7 @@
         if (job.state.isFinal() || !ownership.covers(job.createdRevision)) {
             return false;
         }
-        return context.settled || job.createdRevision > context.term.headRevision();
+        return context.previousOwnersFenced || job.createdRevision > context.term.headRevision();
     }
 
     /**
@@ -251,7 +251,7 @@
                 askFor(step);
                 return;
             }
-            orders.start(task, worker, nextRun(task.lastRun), advice.ticket(step, worker));
+            orders.start(task, worker, nextRun(task.lastRun), advice.usableTicket(step, worker));
             started++;
         }
     }
@@ -278,7 +278,7 @@
         int run = nextRun(lastRun);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
-            orders.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
+            orders.start(step.tasks.get(index), worker, run, advice.usableTicket(step, worker));
             started++;
         }
     }
@@ -289,8 +289,8 @@
      * @param step the step, for which no worker was found
      */
     private void askFor(StepRecord step) {
-        if (advice.needed(step)) {
-            advice.ask(step);
+        if (advice.isRequired(step)) {
+            advice.request(step);
         }
     }
 
@@ -301,7 +301,7 @@
      * @return the number
      */
     private int nextRun(int lastRun) {
-        return Math.max(lastRun, context.term.runBase()) + 1;
+        return Math.max(lastRun, context.term.runNumberBase()) + 1;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValueCodec.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StoredValueCodec.java
@@ -24,7 +24,7 @@
      * @return the JSON text as bytes
      * @throws IllegalArgumentException if the value has no JSON form
      */
-    public static byte[] write(Object value) {
+    public static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException exception) {
@@ -40,7 +40,7 @@
      * @param <T> the type of the value
      * @return the value, or null if the bytes are not valid JSON for the type
      */
-    public static <T> @Nullable T read(byte[] bytes, Class<T> type) {
+    public static <T> @Nullable T decode(byte[] bytes, Class<T> type) {
         try {
             return MAPPER.readValue(bytes, type);
         } catch (IOException exception) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/SubmissionWatcher.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/SubmissionWatcher.java
@@ -51,7 +51,7 @@
     SubmissionWatcher(CellContext context, Listener listener) {
         this.context = context;
         this.listener = listener;
-        this.prefix = CellKeys.inbox(context.cell);
+        this.prefix = CellKeys.openSubmissionsPrefix(context.cell);
         this.watcher =
                 new PrefixWatcher(
                         prefix, GROUPING_MILLIS, context.store, context.runtime, context.log, this);
@@ -78,7 +78,7 @@
         for (Job job : new ArrayList<>(context.jobs.values())) {
             boolean older = job.createdRevision <= highestRevision;
             if (older && !present.contains(job.id()) && !job.state.isFinal()) {
-                verify(prefix + job.id());
+                reread(prefix + job.id());
             }
         }
         listener.onSnapshot();
@@ -91,10 +91,10 @@
         Job job = context.jobs.get(id);
         if (item == null) {
             if (job != null && !job.state.isFinal() && event.revision() > job.createdRevision) {
-                listener.onRemoved(job);
+                listener.onCancelled(job);
             }
         } else if (job == null && event.revision() <= snapshotRevision) {
-            verify(event.key());
+            reread(event.key());
         } else if (job == null) {
             admit(item);
         }
@@ -106,8 +106,8 @@
      *
      * @param key the key
      */
-    private void verify(String key) {
-        context.store.read(key, result -> onVerified(key, result));
+    private void reread(String key) {
+        context.store.read(key, result -> onReread(key, result));
     }
 
     /**
@@ -116,12 +116,12 @@
      * @param key the key
      * @param result the reading
      */
-    private void onVerified(String key, StoreResult<StoreReading> result) {
-        if (context.over) {
+    private void onReread(String key, StoreResult<StoreReading> result) {
+        if (context.ended) {
             return;
         }
         if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
-            context.schedule(RETRY_MILLIS, () -> verify(key));
+            context.schedule(RETRY_MILLIS, () -> reread(key));
             return;
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
@@ -129,7 +129,7 @@
         if (item != null) {
             admit(item);
         } else if (job != null && !job.state.isFinal()) {
-            listener.onRemoved(job);
+            listener.onCancelled(job);
         }
     }
 
@@ -141,10 +141,11 @@
      */
     private void admit(StoreItem item) {
         String id = idOf(item.key());
-        if (context.known(id)) {
+        if (context.isKnown(id)) {
             return;
         }
-        AcceptedSubmission accepted = StoredValueCodec.read(item.value(), AcceptedSubmission.class);
+        AcceptedSubmission accepted =
+                StoredValueCodec.decode(item.value(), AcceptedSubmission.class);
         if (accepted == null) {
             context.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
             return;
@@ -180,6 +181,6 @@
          *
          * @param job the open job of the submission
          */
-        void onRemoved(Job job);
+        void onCancelled(Job job);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerEntryWatcher.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerEntryWatcher.java
@@ -30,7 +30,7 @@
     private final PlatformFormats formats;
 
     /** Decides which workers belong to the cell. */
-    private final Predicate<WorkerEntry> member;
+    private final Predicate<WorkerEntry> belongsToCell;
 
     /** Called for new and changed workers. */
     private final Listener listener;
@@ -43,17 +43,17 @@
      *
      * @param context the shared state of the cell's owner
      * @param formats decodes the platform's worker entries
-     * @param member decides which workers belong to the cell
+     * @param belongsToCell decides which workers belong to the cell
      * @param listener called for new and changed workers
      */
     WorkerEntryWatcher(
             CellContext context,
             PlatformFormats formats,
-            Predicate<WorkerEntry> member,
+            Predicate<WorkerEntry> belongsToCell,
             Listener listener) {
         this.context = context;
         this.formats = formats;
-        this.member = member;
+        this.belongsToCell = belongsToCell;
         this.listener = listener;
         this.watcher =
                 new PrefixWatcher(
@@ -82,12 +82,12 @@
             WorkerEntry entry = decode(item);
             if (entry != null) {
                 present.add(entry.id());
-                update(entry);
+                addOrUpdate(entry);
             }
         }
         for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
             if (!present.contains(worker.id)) {
-                remove(worker);
+                markUnlisted(worker);
             }
         }
         listener.onSnapshot();
@@ -99,9 +99,9 @@
         WorkerRecord worker = context.workers.get(idOf(event.key()));
         WorkerEntry entry = item == null ? null : decode(item);
         if (entry != null) {
-            update(entry);
+            addOrUpdate(entry);
         } else if (worker != null) {
-            remove(worker);
+            markUnlisted(worker);
         }
     }
 
@@ -117,7 +117,7 @@
             context.log.log("worker.unreadable", "key", item.key(), "revision", item.revision());
             return null;
         }
-        return member.test(entry) ? entry : null;
+        return belongsToCell.test(entry) ? entry : null;
     }
 
     /**
@@ -125,12 +125,14 @@
      *
      * @param entry the entry of the worker
      */
-    private void update(WorkerEntry entry) {
+    private void addOrUpdate(WorkerEntry entry) {
         WorkerRecord worker = context.workers.get(entry.id());
         if (worker == null) {
             worker =
                     new WorkerRecord(
-                            entry, context.leases.formerLeasesOver(context.term.beganMillis()));
+                            entry,
+                            context.leases.previousLeasesExpireAtMillis(
+                                    context.term.startedAtMillis()));
             context.workers.put(entry.id(), worker);
             context.log.log(
                     "worker.listed",
@@ -142,17 +144,17 @@
                     entry.capacity(),
                     "draining",
                     entry.draining());
-            listener.onNew(worker);
+            listener.onAdded(worker);
             return;
         }
-        WorkerEntry before = worker.entry;
+        WorkerEntry previousEntry = worker.entry;
         worker.entry = entry;
         worker.listed = true;
-        if (!before.draining() && entry.draining()) {
+        if (!previousEntry.draining() && entry.draining()) {
             context.log.log(
                     "worker.draining", "worker", entry.id(), "remaining", entry.remainingMillis());
         }
-        listener.onUpdate(worker, before);
+        listener.onUpdated(worker, previousEntry);
     }
 
     /**
@@ -160,7 +162,7 @@
      *
      * @param worker the worker
      */
-    private void remove(WorkerRecord worker) {
+    private void markUnlisted(WorkerRecord worker) {
         if (worker.listed) {
             worker.listed = false;
             worker.unlistedSinceMillis = context.now();
@@ -196,14 +198,14 @@
          *
          * @param worker the worker
          */
-        void onNew(WorkerRecord worker);
+        void onAdded(WorkerRecord worker);
 
         /**
          * Called after the entry of a known worker was read again or changed.
          *
          * @param worker the worker, with the new entry
-         * @param before the previous entry
+         * @param previousEntry the previous entry
          */
-        void onUpdate(WorkerRecord worker, WorkerEntry before);
+        void onUpdated(WorkerRecord worker, WorkerEntry previousEntry);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -24,16 +24,16 @@
      * ends from 1 again. Acknowledging a number of the earlier boot would make it discard new run
      * ends.
      */
-    private static final long NOTHING_ACKNOWLEDGED = 0;
+    private static final long NO_ACKNOWLEDGEMENT = 0;
 
     /**
      * The number of run ends from which on an inventory may be truncated, given by the platform's
      * documentation.
      */
-    private static final int LONGEST_END_LIST = 500;
+    private static final int END_LIST_LIMIT_COUNT = 500;
 
     /** The delay before the next poll while run ends wait for their commit, in milliseconds. */
-    private static final long COMMIT_WAIT_MILLIS = 300;
+    private static final long PENDING_COMMIT_DELAY_MILLIS = 300;
 
     /** The shared state of the cell's owner. */
     private final CellContext context;
@@ -69,56 +69,56 @@
      *
      * @param worker the worker
      */
-    void look(WorkerRecord worker) {
-        if (context.over || worker.looking || context.workers.get(worker.id) != worker) {
+    void poll(WorkerRecord worker) {
+        if (context.ended || worker.looking || context.workers.get(worker.id) != worker) {
             return;
         }
         worker.looking = true;
         worker.lookNumber++;
-        long number = worker.lookNumber;
+        long pollNumber = worker.lookNumber;
         long now = context.now();
         boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerCalls.NO_LEASE;
         if (!first && worker.missedLooks == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
-            context.leases.noteGrant(worker, leaseEnd, now);
+            context.leases.recordGrant(worker, leaseEnd, now);
         }
-        boolean sameLife = worker.missedLooks == 0;
+        boolean sameBoot = worker.missedLooks == 0;
         HoldOrder order =
                 new HoldOrder(
                         leaseEnd,
                         context.term.generation(),
-                        sameLife ? worker.acknowledgedSequence : NOTHING_ACKNOWLEDGED,
-                        sameLife && worker.fenced ? context.settings.lookWaitMillis() : 0);
-        context.calls.hold(worker.address(), order, reply -> onReply(worker, number, reply));
+                        sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
+                        sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
+        context.calls.hold(worker.address(), order, reply -> onReply(worker, pollNumber, reply));
     }
 
     /**
      * Handles the answer to a poll. An answer of a boot before the known one is ignored.
      *
      * @param worker the worker
-     * @param number the number of the poll
+     * @param pollNumber the number of the poll
      * @param reply the answer
      */
-    private void onReply(WorkerRecord worker, long number, WorkerReply reply) {
+    private void onReply(WorkerRecord worker, long pollNumber, WorkerReply reply) {
         worker.looking = false;
-        if (context.over || context.workers.get(worker.id) != worker) {
+        if (context.ended || context.workers.get(worker.id) != worker) {
             return;
         }
         Inventory inventory = reply.inventory();
         if (reply.status() != WorkerStatus.OK || inventory == null) {
             worker.missedLooks++;
-            listener.onMissedLook(worker, reply);
-            context.schedule(context.settings.lookRetryMillis(), () -> look(worker));
+            listener.onPollFailed(worker, reply);
+            context.schedule(context.settings.pollRetryMillis(), () -> poll(worker));
             return;
         }
         if (reply.bornUnixMillis() < worker.bornUnixMillis) {
-            look(worker);
+            poll(worker);
             return;
         }
         long now = context.now();
         if (worker.bornUnixMillis != 0 && reply.bornUnixMillis() > worker.bornUnixMillis) {
-            restarted(worker, reply.bornUnixMillis());
+            onRestart(worker, reply.bornUnixMillis());
         }
         worker.bornUnixMillis = reply.bornUnixMillis();
         worker.clockMillis = reply.clockMillis();
@@ -127,12 +127,12 @@
         worker.missedLooks = 0;
         boolean first = !worker.fenced;
         worker.fenced = true;
-        merge(worker, number, inventory);
-        listener.onLook(worker, first);
+        mergeInventory(worker, pollNumber, inventory);
+        listener.onPollAnswered(worker, first);
         if (worker.pendingEnds.isEmpty()) {
-            look(worker);
+            poll(worker);
         } else {
-            context.schedule(COMMIT_WAIT_MILLIS, () -> look(worker));
+            context.schedule(PENDING_COMMIT_DELAY_MILLIS, () -> poll(worker));
         }
     }
 
@@ -143,7 +143,7 @@
      * @param worker the worker
      * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
-    void restarted(WorkerRecord worker, long bornUnixMillis) {
+    void onRestart(WorkerRecord worker, long bornUnixMillis) {
         context.log.log(
                 "worker.restarted",
                 "worker",
@@ -177,27 +177,29 @@
      * Updates the run records from an inventory.
      *
      * @param worker the worker
-     * @param number the number of the poll; a run counts as missing only if the poll was sent after
-     *     the last order for the run was answered or failed
+     * @param pollNumber the number of the poll; a run counts as missing only if the poll was sent
+     *     after the last order for the run was answered or failed
      * @param inventory the active and ended runs of the worker
      */
-    private void merge(WorkerRecord worker, long number, Inventory inventory) {
+    private void mergeInventory(WorkerRecord worker, long pollNumber, Inventory inventory) {
         for (EndView end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
                 worker.pendingEnds.add(book.apply(worker, end));
             }
         }
-        worker.advanceAcknowledgement(context.settled, context.term.runBase());
-        Set<RunKey> seen = new HashSet<>();
+        worker.advanceAcknowledgement(context.previousOwnersFenced, context.term.runNumberBase());
+        Set<RunKey> listedKeys = new HashSet<>();
         for (RunView view : inventory.running()) {
-            seen.add(new RunKey(view.task(), view.run()));
+            listedKeys.add(new RunKey(view.task(), view.run()));
             mergeRun(worker, view);
         }
-        boolean whole = inventory.ended().size() < LONGEST_END_LIST;
+        boolean complete = inventory.ended().size() < END_LIST_LIMIT_COUNT;
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
-            if (whole && !seen.contains(record.key()) && number >= record.settledAfterLook) {
-                judgeAbsent(record);
+            if (complete
+                    && !listedKeys.contains(record.key())
+                    && pollNumber >= record.settledAfterLook) {
+                onMissingRun(record);
             }
         }
     }
@@ -211,7 +213,7 @@
     private void mergeRun(WorkerRecord worker, RunView view) {
         RunRecord record = worker.runs.get(new RunKey(view.task(), view.run()));
         if (record == null) {
-            record = adopt(worker, view);
+            record = adoptRun(worker, view);
         }
         if (record.phase == RunPhase.STARTING || record.phase == RunPhase.UNCERTAIN) {
             record.phase = RunPhase.RUNNING;
@@ -232,9 +234,9 @@
      * @param view the run as the worker lists it
      * @return the record of the run
      */
-    private RunRecord adopt(WorkerRecord worker, RunView view) {
+    private RunRecord adoptRun(WorkerRecord worker, RunView view) {
         TaskRecord task = book.find(view.task());
-        boolean wanted = task != null && !task.done && elsewhere(task, view);
+        boolean wanted = task != null && !task.done && mayContinue(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
         RunRecord record =
                 new RunRecord(
@@ -275,7 +277,7 @@
      * @return true if no other run of the task is or may be active, and no run with this number or
      *     a higher one has ended
      */
-    private static boolean elsewhere(TaskRecord task, RunView view) {
+    private static boolean mayContinue(TaskRecord task, RunView view) {
         return task.runs.isEmpty() && view.run() > task.endedRun;
     }
 
@@ -285,7 +287,7 @@
      *
      * @param record the run
      */
-    private void judgeAbsent(RunRecord record) {
+    private void onMissingRun(RunRecord record) {
         switch (record.phase) {
             case UNCERTAIN -> orders.stop(record);
             case STOPPING -> {
@@ -308,7 +310,7 @@
      *
      * @param worker the worker
      */
-    void expire(WorkerRecord worker) {
+    void expireRuns(WorkerRecord worker) {
         if (context.now() < worker.leaseOverAtMillis) {
             return;
         }
@@ -331,7 +333,7 @@
          * @param worker the worker
          * @param first whether this is the first answer of the worker's current boot to this owner
          */
-        void onLook(WorkerRecord worker, boolean first);
+        void onPollAnswered(WorkerRecord worker, boolean first);
 
         /**
          * Called when a poll got no answer or was refused.
@@ -339,6 +341,6 @@
          * @param worker the worker
          * @param reply the refusal, or the reason why there is no answer
          */
-        void onMissedLook(WorkerRecord worker, WorkerReply reply);
+        void onPollFailed(WorkerRecord worker, WorkerReply reply);
     }
 }
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/CellSettingsTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/CellSettingsTest.java
@@ -9,23 +9,23 @@
 class CellSettingsTest {
 
     @Test
-    void leasesKeepToTheBoundsOfTheDeployment() {
+    void leasesStayWithinTheDeploymentLimits() {
         CellSettings settings =
                 CellSettings.builder()
-                        .longestWorkerLeaseMillis(3_000)
-                        .shortestStoreLeaseMillis(5_000)
+                        .maximumWorkerLeaseMillis(3_000)
+                        .minimumStoreLeaseMillis(5_000)
                         .build();
         assertThat(settings.workerLeaseMillis(), is(3_000L));
         assertThat(settings.storeLeaseMillis(), is(5_000L));
     }
 
     @Test
-    void widerBoundsChangeNothing() {
+    void widerLimitsKeepTheDefaults() {
         CellSettings defaults = CellSettings.builder().build();
         CellSettings settings =
                 CellSettings.builder()
-                        .longestWorkerLeaseMillis(60_000)
-                        .shortestStoreLeaseMillis(1)
+                        .maximumWorkerLeaseMillis(60_000)
+                        .minimumStoreLeaseMillis(1)
                         .build();
         assertThat(settings.workerLeaseMillis(), is(defaults.workerLeaseMillis()));
         assertThat(settings.storeLeaseMillis(), is(defaults.storeLeaseMillis()));
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
@@ -28,7 +28,7 @@
 
     @Override
     public @Nullable WorkerEntry decodeWorker(String id, byte[] value) {
-        Entry entry = StoredValueCodec.read(value, Entry.class);
+        Entry entry = StoredValueCodec.decode(value, Entry.class);
         return entry == null
                 ? null
                 : new WorkerEntry(
@@ -66,7 +66,7 @@
             boolean draining,
             Resources capacity,
             long born) {
-        return StoredValueCodec.write(
+        return StoredValueCodec.encode(
                 new Entry(id, service, address.getPort(), draining, capacity, born));
     }
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
@@ -166,8 +166,10 @@
         store.commit(
                 new Commit()
                         .expect(CellKeys.submission(id), StoreItem.ABSENT)
-                        .put(CellKeys.submission(id), StoredValueCodec.write(record))
-                        .put(CellKeys.inbox(CELL) + id, StoredValueCodec.write(accepted)));
+                        .put(CellKeys.submission(id), StoredValueCodec.encode(record))
+                        .put(
+                                CellKeys.openSubmissionsPrefix(CELL) + id,
+                                StoredValueCodec.encode(accepted)));
     }
 
     /**
@@ -181,8 +183,8 @@
                         CELL, "route", SubmissionState.CANCELLED, runtime.unixMillis());
         store.commit(
                 new Commit()
-                        .put(CellKeys.submission(id), StoredValueCodec.write(record))
-                        .remove(CellKeys.inbox(CELL) + id));
+                        .put(CellKeys.submission(id), StoredValueCodec.encode(record))
+                        .remove(CellKeys.openSubmissionsPrefix(CELL) + id));
     }
 
     /**
@@ -194,7 +196,7 @@
     @Nullable SubmissionState state(String id) {
         byte[] value = store.value(CellKeys.submission(id));
         SubmissionRecord record =
-                value == null ? null : StoredValueCodec.read(value, SubmissionRecord.class);
+                value == null ? null : StoredValueCodec.decode(value, SubmissionRecord.class);
         return record == null ? null : record.state();
     }
 
@@ -221,8 +223,8 @@
         long revision =
                 store.commit(
                                 new Commit()
-                                        .put(CellKeys.owner(CELL), StoredValueCodec.write(record))
-                                        .put(CellKeys.head(CELL), StoredValueCodec.write(head)))
+                                        .put(CellKeys.owner(CELL), StoredValueCodec.encode(record))
+                                        .put(CellKeys.head(CELL), StoredValueCodec.encode(head)))
                         .require()
                         .revision();
         FreezableRuntime clock = new FreezableRuntime(runtime);
