--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
@@ -149,7 +149,7 @@
         }
         StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
         SubmissionRecord record =
-                item == null ? null : StoredValueCodec.read(item.value(), SubmissionRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), SubmissionRecord.class);
         if (item == null || record == null) {
             retryOrRespond(request, cancel, callback, result.status());
         } else if (record.state().isFinal() || !cancel) {
@@ -200,8 +200,8 @@
                         .expectRevision(CellKeys.submission(request.id()), revision)
                         .put(
                                 CellKeys.submission(request.id()),
-                                StoredValueCodec.write(cancelledRecord))
-                        .remove(CellKeys.inbox(record.cell()) + request.id());
+                                StoredValueCodec.encode(cancelledRecord))
+                        .remove(CellKeys.openSubmissionsPrefix(record.cell()) + request.id());
         store.commit(commit, result -> onCancellationResult(request, callback, result));
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -150,7 +150,7 @@
         }
         StoreItem item = absent ? null : result.require().item();
         HeadRecord head =
-                item == null ? null : StoredValueCodec.read(item.value(), HeadRecord.class);
+                item == null ? null : StoredValueCodec.decode(item.value(), HeadRecord.class);
         long generation = head == null ? 1 : head.generation() + 1;
         long headRevision = item == null ? StoreItem.ABSENT : item.revision();
         OwnerRecord record = new OwnerRecord(identity.node(), identity.process(), generation);
@@ -158,10 +158,10 @@
                 new StoreTransaction()
                         .expectRevision(CellKeys.owner(cell), ownerRevision)
                         .expectRevision(CellKeys.head(cell), headRevision)
-                        .put(CellKeys.owner(cell), StoredValueCodec.write(record), session.lease())
+                        .put(CellKeys.owner(cell), StoredValueCodec.encode(record), session.lease())
                         .put(
                                 CellKeys.head(cell),
-                                StoredValueCodec.write(
+                                StoredValueCodec.encode(
                                         new HeadRecord(generation, 0, identity.node())));
         store.commit(commit, reply -> onCommitted(reply, record));
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -199,7 +199,8 @@
                 state.setPaused(false, now);
                 worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
             }
-        } else if (maxOverTargetMillis >= context.settings.impactMillis() * PAUSE_FRACTION) {
+        } else if (maxOverTargetMillis
+                >= context.settings.maximumOverTargetMillis() * PAUSE_FRACTION) {
             state.setPaused(true, now);
             context.log.log("filler.pause", "worker", worker.id, "overMillis", maxOverTargetMillis);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -80,7 +80,7 @@
         }
         if (task.step.spec.lasting() && !task.everRan) {
             task.everRan = true;
-            commits.change(job);
+            commits.enqueue(job);
         }
     }
 
@@ -122,7 +122,7 @@
                     "sequence",
                     end.sequence());
             take(task, worker, end);
-            commits.change(job);
+            commits.enqueue(job);
             finishIfOver(job);
         }
         return new PendingEnd(end.sequence(), end.run(), job, job.version);
@@ -163,8 +163,8 @@
     void cancel(Job job) {
         context.log.log("job.cancelled", "id", job.id(), "cell", context.cell);
         job.state = SubmissionState.CANCELLED;
-        commits.forget(job);
-        context.remove(job);
+        commits.discard(job);
+        context.removeJob(job);
         stopAll(job);
     }
 
@@ -174,7 +174,7 @@
      * @param job the job
      */
     void close(Job job) {
-        context.remove(job);
+        context.removeJob(job);
         context.log.log(
                 "job.closed",
                 "route",
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -85,7 +85,7 @@
         record.startCheckpoint = task.checkpoint;
         worker.add(record);
         long leaseEnd = context.leases.leaseEnd(worker, now);
-        context.leases.noteGrant(worker, leaseEnd, now);
+        context.leases.recordGrant(worker, leaseEnd, now);
         StartRequest order =
                 new StartRequest(
                         task.id,
@@ -124,7 +124,7 @@
     private void onStart(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
         worker.ordersInFlight--;
-        if (context.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -208,7 +208,7 @@
      * @param record the run
      */
     void sendStop(RunRecord record) {
-        if (record.stopSent || record.stopAcknowledged || context.over) {
+        if (record.stopSent || record.stopAcknowledged || context.ended) {
             return;
         }
         record.stopSent = true;
@@ -229,7 +229,7 @@
     private void onStop(RunRecord record, WorkerReply reply) {
         record.stopSent = false;
         WorkerRecord worker = record.worker;
-        if (context.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -256,7 +256,7 @@
      *     again
      */
     void pace(RunRecord record) {
-        if (record.pacing || context.over) {
+        if (record.pacing || context.ended) {
             return;
         }
         record.pacing = true;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -97,7 +97,7 @@
     void run() {
         started = 0;
         List<WaitingStep> steps = new ArrayList<>();
-        long unixLimit = context.runtime.unixMillis() + context.settings.earlyMillis();
+        long unixLimit = context.runtime.unixMillis() + context.settings.earlyStartMillis();
         for (Job job : context.jobs.values()) {
             if (!mayStart(job)) {
                 continue;
@@ -131,7 +131,7 @@
         if (job.state.isFinal() || !ownership.covers(job.createdRevision)) {
             return false;
         }
-        return context.settled || job.createdRevision > context.term.headRevision();
+        return context.previousOwnersFenced || job.createdRevision > context.term.headRevision();
     }
 
     /**
@@ -258,7 +258,8 @@
                 askFor(step);
                 return;
             }
-            requestSender.start(task, worker, nextRun(task.lastRun), advice.ticket(step, worker));
+            requestSender.start(
+                    task, worker, nextRun(task.lastRun), advice.usableTicket(step, worker));
             started++;
         }
     }
@@ -285,7 +286,8 @@
         int run = nextRun(lastRun);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
-            requestSender.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
+            requestSender.start(
+                    step.tasks.get(index), worker, run, advice.usableTicket(step, worker));
             started++;
         }
     }
@@ -296,8 +298,8 @@
      * @param step the step, for which no worker was found
      */
     private void askFor(StepRecord step) {
-        if (advice.needed(step)) {
-            advice.ask(step);
+        if (advice.isRequired(step)) {
+            advice.request(step);
         }
     }
 
@@ -308,7 +310,7 @@
      * @return the number, higher than those that any former owner has used
      */
     private int nextRun(int lastRun) {
-        return Math.max(lastRun, context.term.runBase()) + 1;
+        return Math.max(lastRun, context.term.runNumberBase()) + 1;
     }
 
     /**
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
@@ -31,7 +31,7 @@
 
     @Override
     public @Nullable WorkerEntry decodeWorker(String id, byte[] value) {
-        Entry entry = StoredValueCodec.read(value, Entry.class);
+        Entry entry = StoredValueCodec.decode(value, Entry.class);
         return entry == null
                 ? null
                 : new WorkerEntry(
@@ -69,7 +69,7 @@
             boolean draining,
             Resources capacity,
             long born) {
-        return StoredValueCodec.write(
+        return StoredValueCodec.encode(
                 new Entry(id, service, address.getPort(), draining, capacity, born));
     }
 
