--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -330,7 +330,7 @@
                 settle();
                 proof.renew();
             }
-            fillerThrottle.judge(worker);
+            fillerThrottle.evaluate(worker);
             stragglerMitigator.judge(worker);
             planPass();
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
@@ -17,12 +17,12 @@
      * @param worker the worker
      * @return the shares by image, as fractions of the worker's CPU
      */
-    static Map<String, Double> present(WorkerRecord worker) {
+    static Map<String, Double> current(WorkerRecord worker) {
         Map<String, Double> shares = new HashMap<>();
         for (RunRecord run : worker.runs.values()) {
             if (run.filling() && run.task != null) {
-                double part = (double) Math.max(0, run.percent) / RunRecord.FULL_PERCENT;
-                add(shares, run.task.step.spec, worker, part);
+                double limitFraction = (double) Math.max(0, run.percent) / RunRecord.FULL_PERCENT;
+                add(shares, run.task.step.spec, worker, limitFraction);
             }
         }
         return shares;
@@ -33,21 +33,21 @@
      * filler started: those of all its fillers at full limit, less those at the last evaluation.
      *
      * @param worker the worker
-     * @param another the step of the filler that would start
+     * @param candidate the step of the filler that would start
      * @return the shares by image, as fractions of the worker's CPU; images without an increase are
      *     absent
      */
-    static Map<String, Double> added(WorkerRecord worker, StepSpec another) {
+    static Map<String, Double> addedBy(WorkerRecord worker, StepSpec candidate) {
         Map<String, Double> shares = new HashMap<>();
         for (RunRecord run : worker.runs.values()) {
             if (run.filling() && run.task != null) {
                 add(shares, run.task.step.spec, worker, 1);
             }
         }
-        worker.throttleState.lastShares.forEach(
+        worker.throttleState.lastCpuShares.forEach(
                 (image, share) -> shares.merge(image, -share, Double::sum));
         shares.values().removeIf(share -> share <= 0);
-        add(shares, another, worker, 1);
+        add(shares, candidate, worker, 1);
         return shares;
     }
 
@@ -58,7 +58,7 @@
      * @param worker the worker
      * @return the share, as a fraction of the worker's CPU
      */
-    static double of(StepSpec spec, WorkerRecord worker) {
+    static double atFullLimit(StepSpec spec, WorkerRecord worker) {
         double capacity = Math.max(1, worker.entry.capacity().cpuMillicores());
         return spec.need().cpuMillicores() / capacity;
     }
@@ -69,11 +69,11 @@
      * @param shares the shares by image, which are changed
      * @param spec the step of the filler
      * @param worker the worker
-     * @param part the CPU limit of the filler, from 0 to 1
+     * @param limitFraction the CPU limit of the filler, from 0 to 1
      */
     private static void add(
-            Map<String, Double> shares, StepSpec spec, WorkerRecord worker, double part) {
-        double share = part * of(spec, worker);
+            Map<String, Double> shares, StepSpec spec, WorkerRecord worker, double limitFraction) {
+        double share = limitFraction * atFullLimit(spec, worker);
         if (share > 0) {
             shares.merge(spec.image(), share, Double::sum);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -18,84 +18,84 @@
 final class FillerThrottle {
 
     /** The fraction of the allowed time over target after which all fillers are paused. */
-    private static final double PAUSE_AT = 0.4;
+    private static final double PAUSE_FRACTION = 0.4;
 
     /**
      * The maximum length of a pause, in milliseconds: two latency reports, which cover 500 ms each,
      * and their delay.
      */
-    private static final long LONGEST_PAUSE_MILLIS = 1_600;
+    private static final long MAX_PAUSE_MILLIS = 1_600;
 
     /**
      * The minimum length of a pause, in milliseconds: a pause must contain one whole latency
      * report.
      */
-    private static final long SHORTEST_PAUSE_MILLIS = 600;
+    private static final long MIN_PAUSE_MILLIS = 600;
 
     /** The CPU limit of a paused filler, in percent of its request. */
-    private static final int PAUSED_PERCENT = 0;
+    private static final int PAUSED_CPU_LIMIT_PERCENT = 0;
 
     /** The factor by which the CPU limit of a throttled filler is multiplied. */
-    private static final double SLOW_DOWN = 0.75;
+    private static final double THROTTLE_FACTOR = 0.75;
 
     /**
      * The number of percentage points by which the CPU limit of a filler is raised after each poll
      * at which all serving tasks of its worker have recovered.
      */
-    private static final int GIVE_BACK_PERCENT = 30;
+    private static final int RECOVERY_STEP_PERCENT = 30;
 
     /** The fraction of the latency target below which a serving task counts as recovered. */
-    private static final double RECOVERED = 0.75;
+    private static final double RECOVERED_FRACTION = 0.75;
 
     /**
      * The minimum contribution to the logarithm of a tail latency for which a filler is throttled.
      */
-    private static final double LEAST_BLAME = 0.06;
+    private static final double MIN_CONTRIBUTION = 0.06;
 
     /** The fraction of the largest contribution at or above which a filler is throttled. */
-    private static final double CULPRIT = 0.4;
+    private static final double TOP_CONTRIBUTION_FRACTION = 0.4;
 
     /**
      * The fraction of the latency target at or above which a serving task counts as over its
      * target. It is below 1 because reported latencies are noisy, and counting the time over target
      * too late would delay the pause of all fillers.
      */
-    private static final double OVER = 0.9;
+    private static final double OVER_TARGET_FRACTION = 0.9;
 
     /** The fraction of the latency target at or above which fillers are throttled. */
-    private static final double HARMED = 1;
+    private static final double THROTTLE_FRACTION = 1;
 
     /**
      * The maximum time between two evaluations, in milliseconds, for which a latency report is
      * attributed to the fillers that ran at the earlier one.
      */
-    private static final long LONGEST_GAP_MILLIS = 1_200;
+    private static final long MAX_EVALUATION_GAP_MILLIS = 1_200;
 
     /**
      * The minimum time between two evaluations, in milliseconds, for which a latency report is
      * attributed to fillers. Polls that are answered earlier are not evaluated.
      */
-    private static final long SHORTEST_GAP_MILLIS = 200;
+    private static final long MIN_EVALUATION_GAP_MILLIS = 200;
 
     /**
      * The interval at which a CPU limit is sent again while an earlier request that got no answer
      * may still arrive and override it, in milliseconds.
      */
-    private static final long REPEAT_MILLIS = 1_500;
+    private static final long RESEND_INTERVAL_MILLIS = 1_500;
 
     /**
      * The contribution to the logarithm of a tail latency for which 63% (1 - 1/e) of the predicted
      * excess is attributed to a filler.
      */
-    private static final double WHOLE_PART = 0.15;
+    private static final double ATTRIBUTION_SCALE = 0.15;
 
     /** The weight of a new latency report in the smoothed tail latency that admission uses. */
-    private static final double TAIL_WEIGHT = 0.5;
+    private static final double SMOOTHING_WEIGHT = 0.5;
 
     /**
      * The predicted tail latency that does not count against a filler, as a fraction of the target.
      */
-    private static final double HARMLESS = 0.6;
+    private static final double HARMLESS_FRACTION = 0.6;
 
     /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
@@ -126,48 +126,49 @@
      *
      * @param worker the worker that answered
      */
-    void judge(WorkerRecord worker) {
+    void evaluate(WorkerRecord worker) {
         long now = core.now();
         FillerThrottleState state = worker.throttleState;
-        long gap = now - state.judgedAtMillis;
-        if (gap < SHORTEST_GAP_MILLIS) {
-            apply(worker);
+        long gapMillis = now - state.evaluatedAtMillis;
+        if (gapMillis < MIN_EVALUATION_GAP_MILLIS) {
+            sendLimits(worker);
             return;
         }
-        boolean comparable = gap <= LONGEST_GAP_MILLIS;
-        long longestOver = 0;
-        double worst = 0;
+        boolean comparable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
+        long maxOverTargetMillis = 0;
+        double maxLatencyRatio = 0;
         for (RunRecord run : worker.runs.values()) {
             if (!run.serving() || run.load < 0 || run.phase != RunPhase.RUNNING) {
                 continue;
             }
-            double tail = (double) run.load / run.targetMillis();
-            worst = Math.max(worst, tail);
+            double latencyRatio = (double) run.load / run.targetMillis();
+            maxLatencyRatio = Math.max(maxLatencyRatio, latencyRatio);
             run.tail =
                     run.tail == RunRecord.UNKNOWN
-                            ? tail
-                            : run.tail + TAIL_WEIGHT * (tail - run.tail);
+                            ? latencyRatio
+                            : run.tail + SMOOTHING_WEIGHT * (latencyRatio - run.tail);
             if (comparable && run.task != null) {
-                interference.observe(run.task.step.spec.image(), tail, state.lastShares);
+                interference.observe(run.task.step.spec.image(), latencyRatio, state.lastCpuShares);
             }
-            longestOver = Math.max(longestOver, overFor(run, tail, now));
+            maxOverTargetMillis =
+                    Math.max(maxOverTargetMillis, updateOverTarget(run, latencyRatio, now));
         }
-        state.judgedAtMillis = now;
-        state.lastShares = FillerCpuShares.present(worker);
-        decide(worker, longestOver, worst, now);
-        apply(worker);
+        state.evaluatedAtMillis = now;
+        state.lastCpuShares = FillerCpuShares.current(worker);
+        updateLimits(worker, maxOverTargetMillis, maxLatencyRatio, now);
+        sendLimits(worker);
     }
 
     /**
      * Tracks for how long a serving task has continuously been over its target.
      *
      * @param run the run of the serving task
-     * @param tail its tail latency, as a fraction of its target
+     * @param latencyRatio its tail latency, as a fraction of its target
      * @param now the current time, in milliseconds
      * @return the time over target, in milliseconds, or 0 if the task is not over its target
      */
-    private static long overFor(RunRecord run, double tail, long now) {
-        if (tail < OVER) {
+    private static long updateOverTarget(RunRecord run, double latencyRatio, long now) {
+        if (latencyRatio < OVER_TARGET_FRACTION) {
             run.overSinceMillis = RunRecord.UNKNOWN;
             return 0;
         }
@@ -181,28 +182,30 @@
      * Pauses or resumes the fillers of a worker, and adjusts their CPU limits.
      *
      * @param worker the worker
-     * @param longestOver the longest time for which a serving task has been over its target, in
-     *     milliseconds
-     * @param worst the highest tail latency, as a fraction of the target of its task
+     * @param maxOverTargetMillis the longest time for which a serving task has been over its
+     *     target, in milliseconds
+     * @param maxLatencyRatio the highest tail latency, as a fraction of the target of its task
      * @param now the current time, in milliseconds
      */
-    private void decide(WorkerRecord worker, long longestOver, double worst, long now) {
+    private void updateLimits(
+            WorkerRecord worker, long maxOverTargetMillis, double maxLatencyRatio, long now) {
         FillerThrottleState state = worker.throttleState;
-        long inState = now - state.sinceMillis;
+        long millisInState = now - state.changedAtMillis;
         if (state.paused) {
-            boolean recovered = worst < RECOVERED && inState >= SHORTEST_PAUSE_MILLIS;
-            if (recovered || inState >= LONGEST_PAUSE_MILLIS) {
-                state.set(false, now);
+            boolean recovered =
+                    maxLatencyRatio < RECOVERED_FRACTION && millisInState >= MIN_PAUSE_MILLIS;
+            if (recovered || millisInState >= MAX_PAUSE_MILLIS) {
+                state.setPaused(false, now);
                 worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
             }
-        } else if (longestOver >= core.settings.impactMillis() * PAUSE_AT) {
-            state.set(true, now);
-            core.log.log("filler.pause", "worker", worker.id, "overMillis", longestOver);
+        } else if (maxOverTargetMillis >= core.settings.impactMillis() * PAUSE_FRACTION) {
+            state.setPaused(true, now);
+            core.log.log("filler.pause", "worker", worker.id, "overMillis", maxOverTargetMillis);
         }
-        if (worst >= HARMED) {
-            slowCulprits(worker);
-        } else if (worst < RECOVERED) {
-            giveBack(worker);
+        if (maxLatencyRatio >= THROTTLE_FRACTION) {
+            throttleTopContributors(worker);
+        } else if (maxLatencyRatio < RECOVERED_FRACTION) {
+            raiseLimits(worker);
         }
     }
 
@@ -212,21 +215,21 @@
      *
      * @param worker the worker
      */
-    private void slowCulprits(WorkerRecord worker) {
-        Map<RunRecord, Double> blames = new LinkedHashMap<>();
+    private void throttleTopContributors(WorkerRecord worker) {
+        Map<RunRecord, Double> contributions = new LinkedHashMap<>();
         double largest = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.filling()) {
-                double blame = blame(worker, run);
-                blames.put(run, blame);
-                largest = Math.max(largest, blame);
+                double contribution = contribution(worker, run);
+                contributions.put(run, contribution);
+                largest = Math.max(largest, contribution);
             }
         }
-        double culprit = Math.max(LEAST_BLAME, largest * CULPRIT);
-        blames.forEach(
-                (run, blame) -> {
-                    if (blame >= culprit) {
-                        run.allowedPercent = (int) (run.allowedPercent * SLOW_DOWN);
+        double threshold = Math.max(MIN_CONTRIBUTION, largest * TOP_CONTRIBUTION_FRACTION);
+        contributions.forEach(
+                (run, contribution) -> {
+                    if (contribution >= threshold) {
+                        run.allowedPercent = (int) (run.allowedPercent * THROTTLE_FACTOR);
                     }
                 });
     }
@@ -238,17 +241,22 @@
      * @param filler the run of the filler
      * @return the sum of its contributions to the logarithms of these tail latencies
      */
-    private double blame(WorkerRecord worker, RunRecord filler) {
+    private double contribution(WorkerRecord worker, RunRecord filler) {
         if (filler.task == null) {
             return 0;
         }
         StepSpec spec = filler.task.step.spec;
-        double part = (double) Math.max(0, filler.percent) / RunRecord.FULL_PERCENT;
-        double share = part * FillerCpuShares.of(spec, worker);
+        double limitFraction = (double) Math.max(0, filler.percent) / RunRecord.FULL_PERCENT;
+        double cpuShare = limitFraction * FillerCpuShares.atFullLimit(spec, worker);
         double sum = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.serving() && run.task != null && run.load >= HARMED * run.targetMillis()) {
-                sum += share * interference.factor(run.task.step.spec.image(), spec.image());
+            if (run.serving()
+                    && run.task != null
+                    && run.load >= THROTTLE_FRACTION * run.targetMillis()) {
+                sum +=
+                        cpuShare
+                                * interference.coefficient(
+                                        run.task.step.spec.image(), spec.image());
             }
         }
         return sum;
@@ -259,28 +267,31 @@
      *
      * @param worker the worker
      */
-    private static void giveBack(WorkerRecord worker) {
+    private static void raiseLimits(WorkerRecord worker) {
         for (RunRecord run : worker.runs.values()) {
             run.allowedPercent =
-                    Math.min(RunRecord.FULL_PERCENT, run.allowedPercent + GIVE_BACK_PERCENT);
+                    Math.min(RunRecord.FULL_PERCENT, run.allowedPercent + RECOVERY_STEP_PERCENT);
         }
     }
 
     /**
-     * Sends the CPU limits of fillers that differ from the limits that the worker has confirmed.
+     * Sends the CPU limits of fillers that differ from the limits that the worker has confirmed,
+     * and those that an earlier request without an answer may still override.
      *
      * @param worker the worker
      */
-    private void apply(WorkerRecord worker) {
+    private void sendLimits(WorkerRecord worker) {
         for (RunRecord run : worker.runs.values()) {
             if (!run.filling() || run.phase != RunPhase.RUNNING) {
                 continue;
             }
-            run.wantedPercent = worker.throttleState.paused ? PAUSED_PERCENT : run.allowedPercent;
+            run.wantedPercent =
+                    worker.throttleState.paused ? PAUSED_CPU_LIMIT_PERCENT : run.allowedPercent;
             long now = core.now();
-            boolean doubtful =
-                    now < run.paceDoubtUntilMillis && now - run.pacedAtMillis >= REPEAT_MILLIS;
-            if (run.percent != run.wantedPercent || doubtful) {
+            boolean mayBeOverridden =
+                    now < run.paceDoubtUntilMillis
+                            && now - run.pacedAtMillis >= RESEND_INTERVAL_MILLIS;
+            if (run.percent != run.wantedPercent || mayBeOverridden) {
                 requestSender.pace(run);
             }
         }
@@ -289,11 +300,12 @@
     /**
      * Converts a predicted tail latency into a penalty.
      *
-     * @param tail the tail latency, as a fraction of its target
+     * @param latencyRatio the tail latency, as a fraction of its target
      * @return 0 up to the harmless level, 1 at the target and above, and linear in between
      */
-    private static double over(double tail) {
-        return Math.max(0, Math.min(1, (tail - HARMLESS) / (1 - HARMLESS)));
+    private static double penalty(double latencyRatio) {
+        return Math.max(
+                0, Math.min(1, (latencyRatio - HARMLESS_FRACTION) / (1 - HARMLESS_FRACTION)));
     }
 
     /**
@@ -307,19 +319,26 @@
      * @return the expected number of serving tasks, with fractions for predictions close to the
      *     target
      */
-    double harm(WorkerRecord worker, StepSpec spec) {
-        Map<String, Double> added = FillerCpuShares.added(worker, spec);
-        double share = FillerCpuShares.of(spec, worker);
-        double harm = 0;
+    double predictImpact(WorkerRecord worker, StepSpec spec) {
+        Map<String, Double> addedCpuShares = FillerCpuShares.addedBy(worker, spec);
+        double cpuShare = FillerCpuShares.atFullLimit(spec, worker);
+        double impact = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.serving() && run.task != null) {
                 String image = run.task.step.spec.image();
-                double tail = run.tail == RunRecord.UNKNOWN ? interference.base(image) : run.tail;
-                double own = interference.factor(image, spec.image()) * share;
-                double part = 1 - Math.exp(-own / WHOLE_PART);
-                harm += part * over(tail * Math.exp(interference.growth(image, added)));
+                double latencyRatio =
+                        run.tail == RunRecord.UNKNOWN ? interference.baseline(image) : run.tail;
+                double contribution = interference.coefficient(image, spec.image()) * cpuShare;
+                double attribution = 1 - Math.exp(-contribution / ATTRIBUTION_SCALE);
+                impact +=
+                        attribution
+                                * penalty(
+                                        latencyRatio
+                                                * Math.exp(
+                                                        interference.predictLogGrowth(
+                                                                image, addedCpuShares)));
             }
         }
-        return harm;
+        return impact;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottleState.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottleState.java
@@ -9,13 +9,13 @@
     boolean paused;
 
     /** When the fillers were last paused or resumed, in milliseconds. */
-    long sinceMillis;
+    long changedAtMillis;
 
     /** The CPU shares of the fillers at the last evaluation, by image. */
-    Map<String, Double> lastShares = Map.of();
+    Map<String, Double> lastCpuShares = Map.of();
 
     /** When the latencies of the worker were last evaluated, in milliseconds. */
-    long judgedAtMillis;
+    long evaluatedAtMillis;
 
     /** Creates the state of a worker whose fillers are not paused. */
     FillerThrottleState() {}
@@ -26,8 +26,8 @@
      * @param pause true to pause, false to resume
      * @param nowMillis the current time, in milliseconds
      */
-    void set(boolean pause, long nowMillis) {
+    void setPaused(boolean pause, long nowMillis) {
         paused = pause;
-        sinceMillis = nowMillis;
+        changedAtMillis = nowMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/InterferenceModel.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/InterferenceModel.java
@@ -20,48 +20,48 @@
      * The variance of the logarithm of an observed tail latency. Reports are noisy, and load
      * fluctuates.
      */
-    private static final double FIGURE_VARIANCE = 0.5;
+    private static final double OBSERVATION_VARIANCE = 0.5;
 
     /** The initial variance of the coefficient of a pair. */
-    private static final double FIRST_VARIANCE = 60;
+    private static final double INITIAL_VARIANCE = 60;
 
     /**
      * The increase in the variance of a coefficient per observation, since effects change over
      * time.
      */
-    private static final double DRIFT = 0.01;
+    private static final double VARIANCE_DRIFT = 0.01;
 
     /**
      * The initial coefficient of a pair. It predicts a small effect, so that new pairs are tried.
      */
-    private static final double FIRST_FACTOR = 4;
+    private static final double INITIAL_COEFFICIENT = 4;
 
     /** The maximum coefficient. */
-    private static final double LARGEST_FACTOR = 80;
+    private static final double MAX_COEFFICIENT = 80;
 
     /** The maximum logarithm of the growth of a tail latency; higher observations are clipped. */
-    private static final double LARGEST_GROWTH = 3.5;
+    private static final double MAX_LOG_GROWTH = 3.5;
 
     /**
      * The minimum tail latency, as a fraction of the target. It keeps the logarithm defined when a
      * report is zero.
      */
-    private static final double SMALLEST_TAIL = 0.01;
+    private static final double MIN_LATENCY_RATIO = 0.01;
 
     /** The weight of a new observation of the tail latency without fillers. */
-    private static final double BASE_WEIGHT = 0.05;
+    private static final double BASELINE_WEIGHT = 0.05;
 
     /**
      * The assumed tail latency without fillers before the first observation, as a fraction of the
      * target.
      */
-    private static final double FIRST_BASE = 0.4;
+    private static final double INITIAL_BASELINE = 0.4;
 
     /**
      * The maximum tail latency without fillers, as a fraction of the target; higher observations
      * are clipped.
      */
-    private static final double LARGEST_BASE = 0.8;
+    private static final double MAX_BASELINE = 0.8;
 
     /** The effects by the image of the serving task and then by the image of the filler. */
     private final Map<String, Map<String, Effect>> effects = new HashMap<>();
@@ -70,7 +70,7 @@
      * The tail latencies without fillers, as fractions of the target, by the image of the serving
      * task.
      */
-    private final Map<String, Double> bases = new HashMap<>();
+    private final Map<String, Double> baselines = new HashMap<>();
 
     /** Creates a model without observations. */
     InterferenceModel() {}
@@ -78,40 +78,42 @@
     /**
      * Learns from a reported tail latency.
      *
-     * @param image the image of the serving task
-     * @param tail its tail latency, as a fraction of its target
-     * @param shares the CPU shares that the fillers used when the latency was measured, by image,
-     *     as fractions of the worker's CPU; empty if there were no fillers
+     * @param servingImage the image of the serving task
+     * @param latencyRatio its tail latency, as a fraction of its target
+     * @param cpuShares the CPU shares that the fillers used when the latency was measured, by
+     *     image, as fractions of the worker's CPU; empty if there were no fillers
      */
-    void observe(String image, double tail, Map<String, Double> shares) {
-        if (shares.isEmpty()) {
-            double bounded = Math.min(LARGEST_BASE, tail);
-            bases.merge(image, bounded, (old, now) -> old + BASE_WEIGHT * (now - old));
+    void observe(String servingImage, double latencyRatio, Map<String, Double> cpuShares) {
+        if (cpuShares.isEmpty()) {
+            double bounded = Math.min(MAX_BASELINE, latencyRatio);
+            baselines.merge(
+                    servingImage, bounded, (old, now) -> old + BASELINE_WEIGHT * (now - old));
             return;
         }
-        double seen = Math.log(Math.max(tail, SMALLEST_TAIL) / base(image));
-        double growth = Math.max(0, Math.min(LARGEST_GROWTH, seen));
-        correct(image, growth - growth(image, shares), shares);
+        double observed =
+                Math.log(Math.max(latencyRatio, MIN_LATENCY_RATIO) / baseline(servingImage));
+        double logGrowth = Math.max(0, Math.min(MAX_LOG_GROWTH, observed));
+        correct(servingImage, logGrowth - predictLogGrowth(servingImage, cpuShares), cpuShares);
     }
 
     /**
      * Corrects the coefficients of a serving image.
      *
-     * @param image the image of the serving task
+     * @param servingImage the image of the serving task
      * @param error the observed minus the predicted logarithm of the growth
-     * @param shares the CPU shares of the fillers, by image
+     * @param cpuShares the CPU shares of the fillers, by image
      */
-    private void correct(String image, double error, Map<String, Double> shares) {
-        Map<String, Effect> row = effects.computeIfAbsent(image, key -> new HashMap<>());
-        double spread = FIGURE_VARIANCE;
-        for (Map.Entry<String, Double> filler : shares.entrySet()) {
+    private void correct(String servingImage, double error, Map<String, Double> cpuShares) {
+        Map<String, Effect> row = effects.computeIfAbsent(servingImage, key -> new HashMap<>());
+        double totalVariance = OBSERVATION_VARIANCE;
+        for (Map.Entry<String, Double> filler : cpuShares.entrySet()) {
             Effect effect = row.computeIfAbsent(filler.getKey(), key -> new Effect());
-            spread += effect.variance * filler.getValue() * filler.getValue();
+            totalVariance += effect.variance * filler.getValue() * filler.getValue();
         }
-        for (Map.Entry<String, Double> filler : shares.entrySet()) {
+        for (Map.Entry<String, Double> filler : cpuShares.entrySet()) {
             Effect effect = row.get(filler.getKey());
             if (effect != null) {
-                effect.correct(error, filler.getValue(), spread);
+                effect.correct(error, filler.getValue(), totalVariance);
             }
         }
     }
@@ -119,27 +121,27 @@
     /**
      * Returns the coefficient of a pair of images.
      *
-     * @param image the image of the serving task
-     * @param filler the image of the filler
+     * @param servingImage the image of the serving task
+     * @param fillerImage the image of the filler
      * @return the logarithm of the growth of the tail latency if the filler used the worker's whole
      *     CPU
      */
-    double factor(String image, String filler) {
-        Effect effect = effects.getOrDefault(image, Map.of()).get(filler);
-        return effect == null ? FIRST_FACTOR : effect.factor;
+    double coefficient(String servingImage, String fillerImage) {
+        Effect effect = effects.getOrDefault(servingImage, Map.of()).get(fillerImage);
+        return effect == null ? INITIAL_COEFFICIENT : effect.coefficient;
     }
 
     /**
      * Predicts the growth of a tail latency.
      *
-     * @param image the image of the serving task
-     * @param shares the CPU shares of the fillers, by image, as fractions of the worker's CPU
+     * @param servingImage the image of the serving task
+     * @param cpuShares the CPU shares of the fillers, by image, as fractions of the worker's CPU
      * @return the logarithm of the ratio of the tail latency to its level without fillers
      */
-    double growth(String image, Map<String, Double> shares) {
+    double predictLogGrowth(String servingImage, Map<String, Double> cpuShares) {
         double sum = 0;
-        for (Map.Entry<String, Double> filler : shares.entrySet()) {
-            sum += factor(image, filler.getKey()) * filler.getValue();
+        for (Map.Entry<String, Double> filler : cpuShares.entrySet()) {
+            sum += coefficient(servingImage, filler.getKey()) * filler.getValue();
         }
         return sum;
     }
@@ -147,21 +149,21 @@
     /**
      * Returns the tail latency without fillers.
      *
-     * @param image the image of the serving task
+     * @param servingImage the image of the serving task
      * @return the tail latency, as a fraction of the target
      */
-    double base(String image) {
-        return bases.getOrDefault(image, FIRST_BASE);
+    double baseline(String servingImage) {
+        return baselines.getOrDefault(servingImage, INITIAL_BASELINE);
     }
 
     /** The effect of fillers of one image on serving tasks of another. */
     private static final class Effect {
 
         /** The estimated coefficient. */
-        private double factor = FIRST_FACTOR;
+        private double coefficient = INITIAL_COEFFICIENT;
 
         /** The variance of the estimate. */
-        private double variance = FIRST_VARIANCE;
+        private double variance = INITIAL_VARIANCE;
 
         /** Creates an effect without observations. */
         Effect() {}
@@ -170,13 +172,13 @@
          * Corrects the coefficient by the error of a prediction.
          *
          * @param error the observed minus the predicted logarithm of the growth
-         * @param share the CPU share of the fillers, as a fraction of the worker's CPU
-         * @param spread the sum of the variances of the prediction and of the observation
+         * @param cpuShare the CPU share of the fillers, as a fraction of the worker's CPU
+         * @param totalVariance the sum of the variances of the prediction and of the observation
          */
-        void correct(double error, double share, double spread) {
-            double gain = variance * share / spread;
-            factor = Math.max(0, Math.min(LARGEST_FACTOR, factor + gain * error));
-            variance = Math.max(0, variance * (1 - gain * share)) + DRIFT;
+        void correct(double error, double cpuShare, double totalVariance) {
+            double gain = variance * cpuShare / totalVariance;
+            coefficient = Math.max(0, Math.min(MAX_COEFFICIENT, coefficient + gain * error));
+            variance = Math.max(0, variance * (1 - gain * cpuShare)) + VARIANCE_DRIFT;
         }
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -365,7 +365,7 @@
         }
         if (spec.filling()) {
             double load = (double) fillerLoad(worker) / Math.max(1, unused(worker));
-            double harm = fillerThrottle.harm(worker, spec);
+            double harm = fillerThrottle.predictImpact(worker, spec);
             return harm > bearable(task) ? WORST_SCORE : score + harm + LOAD_WEIGHT * load;
         }
         if (spec.lasting()) {
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/InterferenceModelTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/InterferenceModelTest.java
@@ -15,7 +15,7 @@
 final class InterferenceModelTest {
 
     /** The true coefficient of the harmful pair. */
-    private static final double HARMFUL = 12;
+    private static final double HARMFUL_COEFFICIENT = 12;
 
     /**
      * Observes two filler images next to one serving image. One of them increases its tail latency
@@ -23,29 +23,31 @@
      * oscillates by 40%.
      */
     @Test
-    void tellsTheHarmfulFillerFromTheHarmlessOneThatStandsBesideIt() {
+    void distinguishesHarmfulFillerFromHarmlessOneOnSameWorker() {
         InterferenceModel model = new InterferenceModel();
         SplittableRandom random = new SplittableRandom(7);
-        for (int figure = 0; figure < 300; figure++) {
-            double swing = 1 + 0.4 * Math.sin(figure / 4.5);
+        for (int observation = 0; observation < 300; observation++) {
+            double loadFactor = 1 + 0.4 * Math.sin(observation / 4.5);
             double noise = Math.exp(random.nextDouble(-0.5, 0.5));
-            if (figure % 4 == 0) {
-                model.observe("serving", 0.4 * swing * noise, Map.of());
+            if (observation % 4 == 0) {
+                model.observe("serving", 0.4 * loadFactor * noise, Map.of());
                 continue;
             }
             double harmful = random.nextDouble(0, 0.2);
             double harmless = random.nextDouble(0, 0.3);
-            double tail = 0.4 * swing * noise * Math.exp(HARMFUL * harmful);
-            model.observe("serving", tail, Map.of("harmful", harmful, "harmless", harmless));
+            double latencyRatio =
+                    0.4 * loadFactor * noise * Math.exp(HARMFUL_COEFFICIENT * harmful);
+            model.observe(
+                    "serving", latencyRatio, Map.of("harmful", harmful, "harmless", harmless));
         }
-        assertThat(model.factor("serving", "harmful"), greaterThan(8.0));
-        assertThat(model.factor("serving", "harmless"), lessThan(2.5));
+        assertThat(model.coefficient("serving", "harmful"), greaterThan(8.0));
+        assertThat(model.coefficient("serving", "harmless"), lessThan(2.5));
     }
 
     @Test
-    void aPairThatWasNeverSeenIsTried() {
+    void predictsSmallEffectForUnseenPair() {
         InterferenceModel model = new InterferenceModel();
-        assertThat(model.factor("serving", "new"), greaterThan(0.0));
-        assertThat(model.growth("serving", Map.of("new", 0.1)), lessThan(1.0));
+        assertThat(model.coefficient("serving", "new"), greaterThan(0.0));
+        assertThat(model.predictLogGrowth("serving", Map.of("new", 0.1)), lessThan(1.0));
     }
 }
