--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
@@ -70,7 +70,7 @@
      * @return the ticket, empty if there is none that can be used
      */
     String ticket(StepRecord step, WorkerRecord worker) {
-        AdviceTicket ticket = step.tickets.get(worker.id);
+        AdviceTicket ticket = step.ticketsByWorkerId.get(worker.id);
         return ticket != null && ticket.usable(worker, core.now()) ? ticket.text() : "";
     }
 
@@ -87,7 +87,8 @@
         List<WorkerRecord> candidates = new ArrayList<>();
         for (WorkerRecord worker : core.allWorkers()) {
             boolean fits = worker.free().covers(step.spec.reserved());
-            boolean open = !step.unadvised.contains(worker.id) && ticket(step, worker).isEmpty();
+            boolean open =
+                    !step.rejectedWorkerIds.contains(worker.id) && ticket(step, worker).isEmpty();
             if (fits && open && worker.usable(now)) {
                 candidates.add(worker);
             }
@@ -141,9 +142,10 @@
         for (WorkerRecord worker : named) {
             String text = reply.tickets().get(worker.id);
             if (text == null) {
-                step.unadvised.add(worker.id);
+                step.rejectedWorkerIds.add(worker.id);
             } else {
-                step.tickets.put(worker.id, new AdviceTicket(text, worker.bornUnixMillis, until));
+                step.ticketsByWorkerId.put(
+                        worker.id, new AdviceTicket(text, worker.bornUnixMillis, until));
             }
         }
         changed.run();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -277,14 +277,14 @@
                     1,
                     () -> {
                         passPlanned = false;
-                        taskScheduler.run();
+                        taskScheduler.runPass();
                     });
         }
     }
 
     /** Publishes how many submissions wait, if that has changed. */
     private void publish() {
-        Map<String, Integer> counts = jobTracker.pending();
+        Map<String, Integer> counts = jobTracker.countQueuedByRoute();
         if (!counts.equals(published)) {
             published = counts;
             Commit commit = new Commit();
@@ -331,7 +331,7 @@
                 proof.renew();
             }
             fillerThrottle.evaluate(worker);
-            stragglerMitigator.judge(worker);
+            stragglerMitigator.evaluate(worker);
             planPass();
         }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainControl.java
@@ -73,7 +73,7 @@
         if (spec.lasting()) {
             return true;
         }
-        long open = run.sinceMillis + runTimes.expectedMillis(spec) - now;
+        long open = run.trackedSinceMillis + runTimes.expectedMillis(spec) - now;
         return spec.checkpointing() && leftMillis < SAVE_AHEAD_MILLIS && open > leftMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
@@ -20,8 +20,9 @@
     static Map<String, Double> current(WorkerRecord worker) {
         Map<String, Double> shares = new HashMap<>();
         for (RunRecord run : worker.runs.values()) {
-            if (run.filling() && run.task != null) {
-                double limitFraction = (double) Math.max(0, run.percent) / RunRecord.FULL_PERCENT;
+            if (run.isFiller() && run.task != null) {
+                double limitFraction =
+                        (double) Math.max(0, run.cpuLimitPercent) / RunRecord.FULL_PERCENT;
                 add(shares, run.task.step.spec, worker, limitFraction);
             }
         }
@@ -40,7 +41,7 @@
     static Map<String, Double> addedBy(WorkerRecord worker, StepSpec candidate) {
         Map<String, Double> shares = new HashMap<>();
         for (RunRecord run : worker.runs.values()) {
-            if (run.filling() && run.task != null) {
+            if (run.isFiller() && run.task != null) {
                 add(shares, run.task.step.spec, worker, 1);
             }
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -138,15 +138,16 @@
         long maxOverTargetMillis = 0;
         double maxLatencyRatio = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (!run.serving() || run.load < 0 || run.phase != RunPhase.RUNNING) {
+            if (!run.isServing() || run.reportedLoad < 0 || run.phase != RunPhase.RUNNING) {
                 continue;
             }
-            double latencyRatio = (double) run.load / run.targetMillis();
+            double latencyRatio = (double) run.reportedLoad / run.latencyTargetMillis();
             maxLatencyRatio = Math.max(maxLatencyRatio, latencyRatio);
-            run.tail =
-                    run.tail == RunRecord.UNKNOWN
+            run.smoothedLatencyRatio =
+                    run.smoothedLatencyRatio == RunRecord.UNKNOWN
                             ? latencyRatio
-                            : run.tail + SMOOTHING_WEIGHT * (latencyRatio - run.tail);
+                            : run.smoothedLatencyRatio
+                                    + SMOOTHING_WEIGHT * (latencyRatio - run.smoothedLatencyRatio);
             if (comparable && run.task != null) {
                 interference.observe(run.task.step.spec.image(), latencyRatio, state.lastCpuShares);
             }
@@ -169,13 +170,13 @@
      */
     private static long updateOverTarget(RunRecord run, double latencyRatio, long now) {
         if (latencyRatio < OVER_TARGET_FRACTION) {
-            run.overSinceMillis = RunRecord.UNKNOWN;
+            run.overTargetSinceMillis = RunRecord.UNKNOWN;
             return 0;
         }
-        if (run.overSinceMillis == RunRecord.UNKNOWN) {
-            run.overSinceMillis = now;
+        if (run.overTargetSinceMillis == RunRecord.UNKNOWN) {
+            run.overTargetSinceMillis = now;
         }
-        return now - run.overSinceMillis;
+        return now - run.overTargetSinceMillis;
     }
 
     /**
@@ -196,7 +197,7 @@
                     maxLatencyRatio < RECOVERED_FRACTION && millisInState >= MIN_PAUSE_MILLIS;
             if (recovered || millisInState >= MAX_PAUSE_MILLIS) {
                 state.setPaused(false, now);
-                worker.runs.values().forEach(run -> run.overSinceMillis = RunRecord.UNKNOWN);
+                worker.runs.values().forEach(run -> run.overTargetSinceMillis = RunRecord.UNKNOWN);
             }
         } else if (maxOverTargetMillis >= core.settings.impactMillis() * PAUSE_FRACTION) {
             state.setPaused(true, now);
@@ -219,7 +220,7 @@
         Map<RunRecord, Double> contributions = new LinkedHashMap<>();
         double largest = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.filling()) {
+            if (run.isFiller()) {
                 double contribution = contribution(worker, run);
                 contributions.put(run, contribution);
                 largest = Math.max(largest, contribution);
@@ -229,7 +230,8 @@
         contributions.forEach(
                 (run, contribution) -> {
                     if (contribution >= threshold) {
-                        run.allowedPercent = (int) (run.allowedPercent * THROTTLE_FACTOR);
+                        run.unpausedCpuLimitPercent =
+                                (int) (run.unpausedCpuLimitPercent * THROTTLE_FACTOR);
                     }
                 });
     }
@@ -246,13 +248,14 @@
             return 0;
         }
         StepSpec spec = filler.task.step.spec;
-        double limitFraction = (double) Math.max(0, filler.percent) / RunRecord.FULL_PERCENT;
+        double limitFraction =
+                (double) Math.max(0, filler.cpuLimitPercent) / RunRecord.FULL_PERCENT;
         double cpuShare = limitFraction * FillerCpuShares.atFullLimit(spec, worker);
         double sum = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.serving()
+            if (run.isServing()
                     && run.task != null
-                    && run.load >= THROTTLE_FRACTION * run.targetMillis()) {
+                    && run.reportedLoad >= THROTTLE_FRACTION * run.latencyTargetMillis()) {
                 sum +=
                         cpuShare
                                 * interference.coefficient(
@@ -269,8 +272,10 @@
      */
     private static void raiseLimits(WorkerRecord worker) {
         for (RunRecord run : worker.runs.values()) {
-            run.allowedPercent =
-                    Math.min(RunRecord.FULL_PERCENT, run.allowedPercent + RECOVERY_STEP_PERCENT);
+            run.unpausedCpuLimitPercent =
+                    Math.min(
+                            RunRecord.FULL_PERCENT,
+                            run.unpausedCpuLimitPercent + RECOVERY_STEP_PERCENT);
         }
     }
 
@@ -282,17 +287,19 @@
      */
     private void sendLimits(WorkerRecord worker) {
         for (RunRecord run : worker.runs.values()) {
-            if (!run.filling() || run.phase != RunPhase.RUNNING) {
+            if (!run.isFiller() || run.phase != RunPhase.RUNNING) {
                 continue;
             }
-            run.wantedPercent =
-                    worker.throttleState.paused ? PAUSED_CPU_LIMIT_PERCENT : run.allowedPercent;
+            run.wantedCpuLimitPercent =
+                    worker.throttleState.paused
+                            ? PAUSED_CPU_LIMIT_PERCENT
+                            : run.unpausedCpuLimitPercent;
             long now = core.now();
             boolean mayBeOverridden =
-                    now < run.paceDoubtUntilMillis
-                            && now - run.pacedAtMillis >= RESEND_INTERVAL_MILLIS;
-            if (run.percent != run.wantedPercent || mayBeOverridden) {
-                requestSender.pace(run);
+                    now < run.cpuLimitUncertainUntilMillis
+                            && now - run.cpuLimitSentAtMillis >= RESEND_INTERVAL_MILLIS;
+            if (run.cpuLimitPercent != run.wantedCpuLimitPercent || mayBeOverridden) {
+                requestSender.sendCpuLimit(run);
             }
         }
     }
@@ -324,10 +331,12 @@
         double cpuShare = FillerCpuShares.atFullLimit(spec, worker);
         double impact = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.serving() && run.task != null) {
+            if (run.isServing() && run.task != null) {
                 String image = run.task.step.spec.image();
                 double latencyRatio =
-                        run.tail == RunRecord.UNKNOWN ? interference.baseline(image) : run.tail;
+                        run.smoothedLatencyRatio == RunRecord.UNKNOWN
+                                ? interference.baseline(image)
+                                : run.smoothedLatencyRatio;
                 double contribution = interference.coefficient(image, spec.image()) * cpuShare;
                 double attribution = 1 - Math.exp(-contribution / ATTRIBUTION_SCALE);
                 impact +=
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
@@ -23,7 +23,7 @@
     final Map<Integer, OccurrenceRecord> occurrences = new TreeMap<>();
 
     /** The identifiers of the workers on which a run failed. */
-    final Set<String> failedAt = new HashSet<>(2);
+    final Set<String> failedWorkerIds = new HashSet<>(2);
 
     /** The current state; a final state may not be stored yet. */
     SubmissionState state = SubmissionState.QUEUED;
@@ -38,21 +38,21 @@
     boolean progressStored;
 
     /** When this owner first read the submission, in milliseconds. */
-    final long seenMillis;
+    final long firstReadAtMillis;
 
     /**
      * Creates a job without progress. An unscheduled submission begins its only occurrence at once.
      *
      * @param accepted the accepted submission
      * @param createdRevision the store revision at which the submission was stored
-     * @param seenMillis the current time, in milliseconds
+     * @param firstReadAtMillis the current time, in milliseconds
      */
-    Job(AcceptedSubmission accepted, long createdRevision, long seenMillis) {
+    Job(AcceptedSubmission accepted, long createdRevision, long firstReadAtMillis) {
         this.accepted = accepted;
         this.createdRevision = createdRevision;
-        this.seenMillis = seenMillis;
+        this.firstReadAtMillis = firstReadAtMillis;
         if (!accepted.submission().scheduled()) {
-            begin(0);
+            beginOccurrence(0);
         }
     }
 
@@ -71,7 +71,7 @@
      * @param number the number of the occurrence, from 0
      * @return the occurrence
      */
-    OccurrenceRecord begin(int number) {
+    OccurrenceRecord beginOccurrence(int number) {
         return occurrences.computeIfAbsent(number, key -> new OccurrenceRecord(this, key));
     }
 
@@ -80,14 +80,16 @@
      *
      * @param unixMillis the latest due time of an occurrence to begin, in milliseconds since 1970
      */
-    void beginDue(long unixMillis) {
+    void beginDueOccurrences(long unixMillis) {
         Submission submission = accepted.submission();
         if (!submission.scheduled()) {
             return;
         }
-        long due = submission.firstDueUnixMillis() + nextOccurrence() * submission.intervalMillis();
-        while (nextOccurrence() < submission.occurrences() && due <= unixMillis) {
-            begin(nextOccurrence());
+        long due =
+                submission.firstDueUnixMillis()
+                        + nextOccurrenceNumber() * submission.intervalMillis();
+        while (nextOccurrenceNumber() < submission.occurrences() && due <= unixMillis) {
+            beginOccurrence(nextOccurrenceNumber());
             due += submission.intervalMillis();
         }
     }
@@ -99,13 +101,13 @@
      * @param id the identifier of the task
      * @return the task, or null if the submission has no such task
      */
-    @Nullable TaskRecord find(TaskId id) {
+    @Nullable TaskRecord findTask(TaskId id) {
         Submission submission = accepted.submission();
-        int most = submission.scheduled() ? submission.occurrences() : 1;
-        if (id.occurrence() >= most || id.step() >= submission.steps().size()) {
+        int occurrenceCount = submission.scheduled() ? submission.occurrences() : 1;
+        if (id.occurrence() >= occurrenceCount || id.step() >= submission.steps().size()) {
             return null;
         }
-        StepRecord step = begin(id.occurrence()).steps.get(id.step());
+        StepRecord step = beginOccurrence(id.occurrence()).steps.get(id.step());
         return id.index() < step.tasks.size() ? step.tasks.get(id.index()) : null;
     }
 
@@ -114,11 +116,11 @@
      *
      * @return whether all occurrences have begun and are done
      */
-    boolean allDone() {
+    boolean isDone() {
         Submission submission = accepted.submission();
-        int most = submission.scheduled() ? submission.occurrences() : 1;
-        return occurrences.size() == most
-                && occurrences.values().stream().allMatch(OccurrenceRecord::done);
+        int occurrenceCount = submission.scheduled() ? submission.occurrences() : 1;
+        return occurrences.size() == occurrenceCount
+                && occurrences.values().stream().allMatch(OccurrenceRecord::isDone);
     }
 
     /**
@@ -126,7 +128,7 @@
      *
      * @return the number, 0 if none has begun
      */
-    private int nextOccurrence() {
+    private int nextOccurrenceNumber() {
         return occurrences.keySet().stream().mapToInt(number -> number + 1).max().orElse(0);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -18,12 +18,12 @@
 final class JobTracker {
 
     /** The number of attempts of a task whose route is no longer in the manifest. */
-    private static final int DEFAULT_ATTEMPTS = 2;
+    private static final int DEFAULT_MAX_ATTEMPTS = 2;
 
     /**
      * The number of workers per suspect worker: at most one worker in this many may become suspect.
      */
-    private static final int LEAST_SOUND_FACTOR = 4;
+    private static final int MIN_WORKERS_PER_SUSPECT = 4;
 
     /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
@@ -62,9 +62,9 @@
      * @param id the identifier of the task
      * @return the task, or null if the submission is not open or has no such task
      */
-    @Nullable TaskRecord find(TaskId id) {
+    @Nullable TaskRecord findTask(TaskId id) {
         Job job = core.jobs.get(id.submission());
-        return job == null || job.state.isFinal() ? null : job.find(id);
+        return job == null || job.state.isFinal() ? null : job.findTask(id);
     }
 
     /**
@@ -73,7 +73,7 @@
      *
      * @param task the task
      */
-    void started(TaskRecord task) {
+    void recordConfirmedRun(TaskRecord task) {
         Job job = task.step.occurrence.job;
         if (job.state == SubmissionState.QUEUED) {
             job.state = SubmissionState.RUNNING;
@@ -92,23 +92,23 @@
      * @return the end with the version of the job that must be stored before the end is
      *     acknowledged to the worker
      */
-    PendingEnd apply(WorkerRecord worker, EndView end) {
+    PendingEnd applyEnd(WorkerRecord worker, EndView end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
         if (record != null) {
             worker.remove(record);
         }
         Job job = core.jobs.get(end.task().submission());
-        TaskRecord task = find(end.task());
+        TaskRecord task = findTask(end.task());
         if (job == null || task == null) {
             return new PendingEnd(end.sequence(), end.run(), job, job == null ? 0 : job.version);
         }
-        boolean news =
-                end.run() > task.endedRun
+        boolean relevant =
+                end.run() > task.highestEndedRun
                         || end.kind() == EndKind.DONE
                         || end.kind() == EndKind.FAILED;
-        if (news && !task.done) {
-            started(task);
-            noteConduct(job, worker, record, end);
+        if (relevant && !task.done) {
+            recordConfirmedRun(task);
+            recordOutcome(job, worker, record, end);
             core.log.log(
                     "run.ended",
                     "task",
@@ -121,9 +121,9 @@
                     end.kind(),
                     "sequence",
                     end.sequence());
-            take(task, worker, end);
+            updateTask(task, worker, end);
             commits.change(job);
-            finishIfOver(job);
+            finishIfDoneOrFailed(job);
         }
         return new PendingEnd(end.sequence(), end.run(), job, job.version);
     }
@@ -135,7 +135,7 @@
      * @param record the run
      * @param reason why the run cannot be active any more, for the log
      */
-    void lost(RunRecord record, String reason) {
+    void applyLoss(RunRecord record, String reason) {
         record.worker.remove(record);
         TaskRecord task = record.task;
         core.log.log(
@@ -149,8 +149,8 @@
                 "reason",
                 reason);
         if (task != null && !task.done) {
-            keepCheckpoint(task, record.checkpoint);
-            breakGang(task);
+            saveCheckpoint(task, record.checkpoint);
+            stopGang(task);
         }
     }
 
@@ -165,7 +165,7 @@
         job.state = SubmissionState.CANCELLED;
         commits.forget(job);
         core.remove(job);
-        stopAll(job);
+        stopAllRuns(job);
     }
 
     /**
@@ -186,7 +186,7 @@
                 "state",
                 job.state,
                 "millis",
-                core.now() - job.seenMillis);
+                core.now() - job.firstReadAtMillis);
     }
 
     /**
@@ -194,7 +194,7 @@
      *
      * @return the counts by the name of the route, without routes that have none
      */
-    Map<String, Integer> pending() {
+    Map<String, Integer> countQueuedByRoute() {
         Map<String, Integer> counts = new TreeMap<>();
         for (Job job : core.jobs.values()) {
             if (job.state == SubmissionState.QUEUED) {
@@ -211,17 +211,17 @@
      * @param worker the worker that ran it
      * @param end the end of the run
      */
-    private void take(TaskRecord task, WorkerRecord worker, EndView end) {
-        boolean newest = end.run() >= task.endedRun;
-        task.endedRun = Math.max(task.endedRun, end.run());
-        task.lastRun = Math.max(task.lastRun, end.run());
+    private void updateTask(TaskRecord task, WorkerRecord worker, EndView end) {
+        boolean newest = end.run() >= task.highestEndedRun;
+        task.highestEndedRun = Math.max(task.highestEndedRun, end.run());
+        task.highestRun = Math.max(task.highestRun, end.run());
         switch (end.kind()) {
             case DONE -> markDone(task);
             case FAILED -> {
                 if (!task.step.spec.lasting()) {
                     task.failedRuns.add(end.run());
                 }
-                task.failedAt.add(worker.id);
+                task.avoidedWorkerIds.add(worker.id);
             }
             default -> {
                 // A run that was ended from outside says nothing about the task; only its
@@ -229,10 +229,10 @@
             }
         }
         if (newest) {
-            keepCheckpoint(task, end.checkpoint());
+            saveCheckpoint(task, end.checkpoint());
         }
         if (end.kind() != EndKind.DONE) {
-            breakGang(task);
+            stopGang(task);
         }
     }
 
@@ -257,7 +257,7 @@
      *
      * @param task the member whose run has ended
      */
-    private void breakGang(TaskRecord task) {
+    private void stopGang(TaskRecord task) {
         if (!task.step.spec.gang()) {
             return;
         }
@@ -283,7 +283,7 @@
      * @param task the task
      * @param checkpoint the checkpoint, or an empty string to keep the present one
      */
-    private static void keepCheckpoint(TaskRecord task, String checkpoint) {
+    private static void saveCheckpoint(TaskRecord task, String checkpoint) {
         if (checkpoint.isEmpty()) {
             return;
         }
@@ -302,15 +302,15 @@
      * @param record the run, or null if this owner did not know it
      * @param end the end of the run
      */
-    private void noteConduct(
+    private void recordOutcome(
             Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
         if (end.kind() == EndKind.DONE) {
-            worker.failureDetector.done();
-            if (record != null && record.task != null && record.undisturbed()) {
-                runTimes.observe(record.task.step.spec, core.now() - record.sinceMillis);
+            worker.failureDetector.recordSuccess();
+            if (record != null && record.task != null && record.hasFullRunTime()) {
+                runTimes.observe(record.task.step.spec, core.now() - record.trackedSinceMillis);
             }
         } else if (end.kind() == EndKind.FAILED) {
-            noteFailure(job, worker);
+            recordFailure(job, worker);
         }
     }
 
@@ -322,16 +322,20 @@
      * @param job the job of the run
      * @param worker the worker that ran it
      */
-    private void noteFailure(Job job, WorkerRecord worker) {
-        boolean elsewhere = job.failedAt.stream().anyMatch(id -> !id.equals(worker.id));
-        job.failedAt.add(worker.id);
+    private void recordFailure(Job job, WorkerRecord worker) {
+        boolean failedElsewhere =
+                job.failedWorkerIds.stream().anyMatch(id -> !id.equals(worker.id));
+        job.failedWorkerIds.add(worker.id);
         long now = core.now();
         long suspects =
                 core.allWorkers().stream()
-                        .filter(other -> other.failureDetector.suspect(now))
+                        .filter(other -> other.failureDetector.isSuspect(now))
                         .count();
-        boolean many = (suspects + 1) * LEAST_SOUND_FACTOR > core.allWorkers().size();
-        if (!elsewhere && !many && worker.failureDetector.failed(job.id(), now)) {
+        boolean tooManySuspects =
+                (suspects + 1) * MIN_WORKERS_PER_SUSPECT > core.allWorkers().size();
+        if (!failedElsewhere
+                && !tooManySuspects
+                && worker.failureDetector.recordFailure(job.id(), now)) {
             core.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
         }
     }
@@ -342,16 +346,16 @@
      *
      * @param job the job
      */
-    private void finishIfOver(Job job) {
-        if (job.allDone()) {
+    private void finishIfDoneOrFailed(Job job) {
+        if (job.isDone()) {
             job.state = SubmissionState.SUCCEEDED;
-        } else if (exhausted(job)) {
+        } else if (hasExhaustedAttempts(job)) {
             job.state = SubmissionState.FAILED;
         } else {
             return;
         }
         core.log.log("job.over", "id", job.id(), "state", job.state);
-        stopAll(job);
+        stopAllRuns(job);
     }
 
     /**
@@ -360,11 +364,11 @@
      * @param job the job
      * @return whether one has none left
      */
-    private boolean exhausted(Job job) {
-        int attempts = attempts(job);
+    private boolean hasExhaustedAttempts(Job job) {
+        int maxAttempts = maxAttempts(job);
         for (OccurrenceRecord occurrence : job.occurrences.values()) {
             for (StepRecord step : occurrence.steps) {
-                if (!step.spec.lasting() && exhausted(step, attempts)) {
+                if (!step.spec.lasting() && hasExhaustedAttempts(step, maxAttempts)) {
                     return true;
                 }
             }
@@ -377,16 +381,16 @@
      * share their attempts.
      *
      * @param step the step
-     * @param attempts the number of runs that may fail
+     * @param maxAttempts the number of runs that may fail
      * @return whether one has none left
      */
-    private static boolean exhausted(StepRecord step, int attempts) {
+    private static boolean hasExhaustedAttempts(StepRecord step, int maxAttempts) {
         if (step.spec.gang()) {
             int failures = step.tasks.stream().mapToInt(task -> task.failedRuns.size()).sum();
-            return !step.done() && failures >= attempts;
+            return !step.isDone() && failures >= maxAttempts;
         }
         return step.tasks.stream()
-                .anyMatch(task -> !task.done && task.failedRuns.size() >= attempts);
+                .anyMatch(task -> !task.done && task.failedRuns.size() >= maxAttempts);
     }
 
     /**
@@ -395,9 +399,9 @@
      * @param job the job
      * @return the number of attempts, at least 1
      */
-    int attempts(Job job) {
+    int maxAttempts(Job job) {
         Route route = core.manifest.byName(job.accepted.route());
-        return route == null ? DEFAULT_ATTEMPTS : Math.max(1, route.maximumAttempts());
+        return route == null ? DEFAULT_MAX_ATTEMPTS : Math.max(1, route.maximumAttempts());
     }
 
     /**
@@ -405,7 +409,7 @@
      *
      * @param job the job
      */
-    private void stopAll(Job job) {
+    private void stopAllRuns(Job job) {
         for (OccurrenceRecord occurrence : job.occurrences.values()) {
             for (StepRecord step : occurrence.steps) {
                 for (TaskRecord task : step.tasks) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OccurrenceRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OccurrenceRecord.java
@@ -39,7 +39,7 @@
      *
      * @return whether all steps are done
      */
-    boolean done() {
-        return steps.stream().allMatch(StepRecord::done);
+    boolean isDone() {
+        return steps.stream().allMatch(StepRecord::isDone);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PendingEnd.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/PendingEnd.java
@@ -18,7 +18,7 @@
      *
      * @return whether the end needs no further commit
      */
-    boolean stored() {
+    boolean isStored() {
         return job == null || job.committedVersion >= version;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
@@ -28,7 +28,7 @@
         for (OccurrenceRecord occurrence : job.occurrences.values()) {
             for (StepRecord step : occurrence.steps) {
                 for (TaskRecord task : step.tasks) {
-                    if (task.endedRun > 0 || task.done || task.everRan) {
+                    if (task.highestEndedRun > 0 || task.done || task.everRan) {
                         entries.add(Entry.of(task));
                     }
                 }
@@ -45,14 +45,14 @@
     void restore(Job job) {
         for (Entry entry : tasks) {
             TaskId id = new TaskId(job.id(), entry.occurrence(), entry.step(), entry.index());
-            TaskRecord task = job.find(id);
+            TaskRecord task = job.findTask(id);
             if (task == null) {
                 continue;
             }
             task.failedRuns.addAll(entry.failedRuns());
             task.everRan = entry.ran();
-            task.endedRun = entry.run();
-            task.lastRun = entry.run();
+            task.highestEndedRun = entry.run();
+            task.highestRun = entry.run();
             task.checkpoint = entry.checkpoint();
             if (entry.done()) {
                 task.step.markDone(task);
@@ -103,7 +103,7 @@
                     task.id.index(),
                     task.done,
                     List.copyOf(task.failedRuns),
-                    task.endedRun,
+                    task.highestEndedRun,
                     task.everRan,
                     task.done ? "" : task.checkpoint);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
@@ -35,7 +35,7 @@
     final Resources reserved;
 
     /** When the start request was sent or a poll first listed the run, in milliseconds. */
-    final long sinceMillis;
+    final long trackedSinceMillis;
 
     /** The state of the run as known to this owner. */
     RunPhase phase;
@@ -53,71 +53,71 @@
      * When the current window of the progress measurement began, in milliseconds, or {@link
      * #UNKNOWN} if there is none.
      */
-    long windowBeganMillis = UNKNOWN;
+    long windowStartMillis = UNKNOWN;
 
     /** The progress at the beginning of the current window, in percent. */
-    int windowPercent;
+    int windowStartPercent;
 
     /**
      * The work done in the last window divided by its length; 1 for a run at its expected speed.
      */
-    double rate = 1;
+    double progressRate = 1;
 
     /** Whether the run is being stopped to continue on another worker. */
     boolean moving;
 
     /** Whether the run was, or may have been, throttled at any time. */
-    boolean slowed;
+    boolean everThrottled;
 
     /** The CPU limit that the worker has confirmed, in percent, or {@link #UNKNOWN}. */
-    int percent = FULL_PERCENT;
+    int cpuLimitPercent = FULL_PERCENT;
 
     /**
      * Until when a request to change the CPU limit that got no answer may still be carried out, in
      * milliseconds.
      */
-    long paceDoubtUntilMillis;
+    long cpuLimitUncertainUntilMillis;
 
     /** When the last request to change the CPU limit was sent, in milliseconds. */
-    long pacedAtMillis;
+    long cpuLimitSentAtMillis;
 
     /** The CPU limit that the worker should apply, in percent. */
-    int wantedPercent = FULL_PERCENT;
+    int wantedCpuLimitPercent = FULL_PERCENT;
 
     /** The CPU limit of a filler while the fillers of its worker are not paused, in percent. */
-    int allowedPercent = FULL_PERCENT;
+    int unpausedCpuLimitPercent = FULL_PERCENT;
 
     /** Whether a request to change the CPU limit is in flight. */
-    boolean pacing;
+    boolean cpuLimitRequestInFlight;
 
     /**
      * The tail latency of a serving task in milliseconds, or the CPU use of any other task in
      * millicores; negative if the worker has not reported it.
      */
-    long load = UNKNOWN;
+    long reportedLoad = UNKNOWN;
 
     /**
      * The number of the first poll whose inventory shows whether the run is active on the worker.
      */
-    long settledAfterLook;
+    long firstConclusivePoll;
 
     /** Whether the worker has acknowledged the stop request in its current boot. */
     boolean stopAcknowledged;
 
     /** Whether a stop request is in flight. */
-    boolean stopSent;
+    boolean stopRequestInFlight;
 
     /**
      * The smoothed tail latency of a serving task, as a fraction of its target, or {@link
      * #UNKNOWN}.
      */
-    double tail = UNKNOWN;
+    double smoothedLatencyRatio = UNKNOWN;
 
     /**
      * Since when a serving task has been over its target, in milliseconds, or {@link #UNKNOWN} if
      * it is not.
      */
-    long overSinceMillis = UNKNOWN;
+    long overTargetSinceMillis = UNKNOWN;
 
     /**
      * Creates a record of a run that is not throttled.
@@ -128,7 +128,7 @@
      * @param task the task, or null if the run must only be stopped
      * @param reserved the resources that the run reserves on the worker
      * @param phase the state of the run as known to this owner
-     * @param sinceMillis the current time, in milliseconds
+     * @param trackedSinceMillis the current time, in milliseconds
      */
     RunRecord(
             TaskId id,
@@ -137,14 +137,14 @@
             @Nullable TaskRecord task,
             Resources reserved,
             RunPhase phase,
-            long sinceMillis) {
+            long trackedSinceMillis) {
         this.id = id;
         this.run = run;
         this.worker = worker;
         this.task = task;
         this.reserved = reserved;
         this.phase = phase;
-        this.sinceMillis = sinceMillis;
+        this.trackedSinceMillis = trackedSinceMillis;
     }
 
     /**
@@ -153,8 +153,8 @@
      * @param nowMillis the current time, in milliseconds
      */
     void beginWindow(long nowMillis) {
-        windowBeganMillis = nowMillis;
-        windowPercent = progressPercent;
+        windowStartMillis = nowMillis;
+        windowStartPercent = progressPercent;
     }
 
     /**
@@ -171,8 +171,8 @@
      *
      * @return whether the duration of the run is the duration of the task
      */
-    boolean undisturbed() {
-        return !slowed && startCheckpoint.isEmpty();
+    boolean hasFullRunTime() {
+        return !everThrottled && startCheckpoint.isEmpty();
     }
 
     /**
@@ -180,7 +180,7 @@
      *
      * @return whether it does
      */
-    boolean serving() {
+    boolean isServing() {
         return task != null && task.step.spec.serving();
     }
 
@@ -189,7 +189,7 @@
      *
      * @return the target, in milliseconds, or 0 if the task has none
      */
-    long targetMillis() {
+    long latencyTargetMillis() {
         return task == null ? 0 : task.step.spec.targetMillis();
     }
 
@@ -198,7 +198,7 @@
      *
      * @return whether it does
      */
-    boolean filling() {
+    boolean isFiller() {
         return task != null && task.step.spec.filling();
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -16,49 +16,49 @@
      * The maximum time after which a request without an answer may still be carried out, in
      * milliseconds.
      */
-    static final long LATEST_ARRIVAL_MILLIS = 13_000;
+    static final long MAX_ARRIVAL_DELAY_MILLIS = 13_000;
 
     /** The delay before a failed stop request is sent again, in milliseconds. */
-    private static final long STOP_RETRY_MILLIS = 150;
+    private static final long STOP_RETRY_DELAY_MILLIS = 150;
 
     /**
      * How long a worker counts as full after it rejected a start for lack of resources, in
      * milliseconds: about one poll.
      */
-    private static final long FULL_MILLIS = 400;
+    private static final long FULL_BACKOFF_MILLIS = 400;
 
     /** How long a worker gets no starts after it reported that it is unhealthy, in milliseconds. */
-    private static final long BUSY_MILLIS = 1_500;
+    private static final long UNHEALTHY_BACKOFF_MILLIS = 1_500;
 
     /** How long a worker gets no starts after it left one unanswered, in milliseconds. */
-    private static final long MUTE_MILLIS = 1_000;
+    private static final long UNANSWERED_BACKOFF_MILLIS = 1_000;
 
     /**
      * The delay before a task whose start request the worker did not understand is started again,
      * in milliseconds.
      */
-    private static final long INVALID_MILLIS = 1_000;
+    private static final long INVALID_BACKOFF_MILLIS = 1_000;
 
     /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
 
     /** Called when the waiting tasks or the free resources may have changed. */
-    private final Runnable changed;
+    private final Runnable onCapacityChange;
 
     /** Called when a worker has seen a higher fencing token, so that the cell has another owner. */
-    private final Runnable doubted;
+    private final Runnable onHigherToken;
 
     /**
      * Creates a sender without requests in flight.
      *
      * @param core the state, settings and ports shared by the components of the cell's owner
-     * @param changed called when the waiting tasks or the free resources may have changed
-     * @param doubted called when a worker has seen a higher fencing token
+     * @param onCapacityChange called when the waiting tasks or the free resources may have changed
+     * @param onHigherToken called when a worker has seen a higher fencing token
      */
-    RunRequestSender(CellCore core, Runnable changed, Runnable doubted) {
+    RunRequestSender(CellCore core, Runnable onCapacityChange, Runnable onHigherToken) {
         this.core = core;
-        this.changed = changed;
-        this.doubted = doubted;
+        this.onCapacityChange = onCapacityChange;
+        this.onHigherToken = onHigherToken;
     }
 
     /**
@@ -71,7 +71,7 @@
      */
     void start(TaskRecord task, WorkerRecord worker, int run, String ticket) {
         long now = core.now();
-        task.lastRun = run;
+        task.highestRun = run;
         RunRecord record =
                 new RunRecord(
                         task.id,
@@ -112,7 +112,7 @@
                 worker.free(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        core.calls.start(worker.address(), order, reply -> onStart(record, reply));
+        core.calls.start(worker.address(), order, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -121,7 +121,7 @@
      * @param record the run
      * @param reply the answer
      */
-    private void onStart(RunRecord record, WorkerReply reply) {
+    private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
         worker.ordersInFlight--;
         if (core.over || worker.runs.get(record.key()) != record) {
@@ -130,7 +130,7 @@
         if (reply.status() == WorkerStatus.OK) {
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.RUNNING;
-                record.settledAfterLook = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lookNumber + 1;
             }
             return;
         }
@@ -147,16 +147,17 @@
                 "reason",
                 reply.reason());
         if (reply.status() == WorkerStatus.UNKNOWN) {
-            worker.avoidUntilMillis = Math.max(worker.avoidUntilMillis, core.now() + MUTE_MILLIS);
+            worker.avoidUntilMillis =
+                    Math.max(worker.avoidUntilMillis, core.now() + UNANSWERED_BACKOFF_MILLIS);
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.UNCERTAIN;
-                record.settledAfterLook = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lookNumber + 1;
             }
             return;
         }
         worker.remove(record);
-        penalise(record, reply.status());
-        changed.run();
+        applyRejection(record, reply.status());
+        onCapacityChange.run();
     }
 
     /**
@@ -165,25 +166,25 @@
      * @param record the run
      * @param status the reason for the rejection
      */
-    private void penalise(RunRecord record, WorkerStatus status) {
+    private void applyRejection(RunRecord record, WorkerStatus status) {
         WorkerRecord worker = record.worker;
         long now = core.now();
         switch (status) {
-            case FENCED -> doubted.run();
-            case NO_ROOM -> worker.fullUntilMillis = now + FULL_MILLIS;
-            case BUSY -> worker.avoidUntilMillis = now + BUSY_MILLIS;
+            case FENCED -> onHigherToken.run();
+            case NO_ROOM -> worker.fullUntilMillis = now + FULL_BACKOFF_MILLIS;
+            case BUSY -> worker.avoidUntilMillis = now + UNHEALTHY_BACKOFF_MILLIS;
             case NO_TICKET -> {
                 if (record.task != null) {
-                    record.task.step.tickets.remove(worker.id);
+                    record.task.step.ticketsByWorkerId.remove(worker.id);
                 }
             }
-            case OTHER_WORKER -> worker.avoidUntilMillis = now + BUSY_MILLIS;
+            case OTHER_WORKER -> worker.avoidUntilMillis = now + UNHEALTHY_BACKOFF_MILLIS;
             case INVALID -> {
                 if (record.task != null) {
-                    record.task.notBeforeMillis = now + INVALID_MILLIS;
+                    record.task.earliestStartMillis = now + INVALID_BACKOFF_MILLIS;
                 }
             }
-            default -> worker.fullUntilMillis = now + FULL_MILLIS;
+            default -> worker.fullUntilMillis = now + FULL_BACKOFF_MILLIS;
         }
     }
 
@@ -207,16 +208,16 @@
      * @param record the run
      */
     void sendStop(RunRecord record) {
-        if (record.stopSent || record.stopAcknowledged || core.over) {
+        if (record.stopRequestInFlight || record.stopAcknowledged || core.over) {
             return;
         }
-        record.stopSent = true;
+        record.stopRequestInFlight = true;
         core.calls.stop(
                 record.worker.address(),
                 record.id,
                 record.run,
                 core.term.generation(),
-                reply -> onStop(record, reply));
+                reply -> onStopReply(record, reply));
     }
 
     /**
@@ -225,22 +226,22 @@
      * @param record the run
      * @param reply the answer
      */
-    private void onStop(RunRecord record, WorkerReply reply) {
-        record.stopSent = false;
+    private void onStopReply(RunRecord record, WorkerReply reply) {
+        record.stopRequestInFlight = false;
         WorkerRecord worker = record.worker;
         if (core.over || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
             record.stopAcknowledged = true;
-            record.settledAfterLook = worker.lookNumber + 1;
+            record.firstConclusivePoll = worker.lookNumber + 1;
             return;
         }
         if (reply.status() == WorkerStatus.FENCED) {
-            doubted.run();
+            onHigherToken.run();
         }
         core.schedule(
-                STOP_RETRY_MILLIS,
+                STOP_RETRY_DELAY_MILLIS,
                 () -> {
                     if (worker.runs.get(record.key()) == record) {
                         sendStop(record);
@@ -254,27 +255,27 @@
      * @param record the run, whose wanted limit differs from the confirmed one or must be sent
      *     again
      */
-    void pace(RunRecord record) {
-        if (record.pacing || core.over) {
+    void sendCpuLimit(RunRecord record) {
+        if (record.cpuLimitRequestInFlight || core.over) {
             return;
         }
-        record.pacing = true;
-        record.pacedAtMillis = core.now();
-        int wanted = record.wantedPercent;
-        record.slowed |= wanted < RunRecord.FULL_PERCENT;
+        record.cpuLimitRequestInFlight = true;
+        record.cpuLimitSentAtMillis = core.now();
+        int wantedPercent = record.wantedCpuLimitPercent;
+        record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
         core.calls.pace(
                 record.worker.address(),
                 record.id,
                 record.run,
-                wanted,
+                wantedPercent,
                 core.term.generation(),
                 reply -> {
-                    record.pacing = false;
+                    record.cpuLimitRequestInFlight = false;
                     if (reply.status() == WorkerStatus.OK) {
-                        record.percent = wanted;
+                        record.cpuLimitPercent = wantedPercent;
                     } else if (reply.status() == WorkerStatus.UNKNOWN) {
-                        record.percent = RunRecord.UNKNOWN;
-                        record.paceDoubtUntilMillis = core.now() + LATEST_ARRIVAL_MILLIS;
+                        record.cpuLimitPercent = RunRecord.UNKNOWN;
+                        record.cpuLimitUncertainUntilMillis = core.now() + MAX_ARRIVAL_DELAY_MILLIS;
                     }
                 });
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimeEstimator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimeEstimator.java
@@ -13,13 +13,13 @@
 final class RunTimeEstimator {
 
     /** The weight of a new observation. */
-    private static final double WEIGHT = 0.2;
+    private static final double OBSERVATION_WEIGHT = 0.2;
 
     /** The minimum factor; lower observations are clipped. */
-    private static final double LEAST_FACTOR = 0.1;
+    private static final double MIN_FACTOR = 0.1;
 
     /** The maximum factor; higher observations are clipped. */
-    private static final double LARGEST_FACTOR = 10;
+    private static final double MAX_FACTOR = 10;
 
     /** The learned ratio of the real to the declared run time, by image. */
     private final Map<String, Double> factors = new HashMap<>();
@@ -37,9 +37,9 @@
         if (spec.estimateMillis() <= 0) {
             return;
         }
-        double seen = (double) millis / spec.estimateMillis();
-        double bounded = Math.max(LEAST_FACTOR, Math.min(LARGEST_FACTOR, seen));
-        factors.merge(spec.image(), bounded, (old, now) -> old + WEIGHT * (now - old));
+        double observed = (double) millis / spec.estimateMillis();
+        double bounded = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, observed));
+        factors.merge(spec.image(), bounded, (old, now) -> old + OBSERVATION_WEIGHT * (now - old));
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
@@ -25,13 +25,13 @@
     final List<TaskRecord> tasks = new ArrayList<>();
 
     /** The tickets of the advice service, by the identifier of the worker. */
-    final Map<String, AdviceTicket> tickets = new HashMap<>();
+    final Map<String, AdviceTicket> ticketsByWorkerId = new HashMap<>();
 
     /**
      * The identifiers of the workers that the advice service has rejected for this step. It does
      * not change its answer.
      */
-    final Set<String> unadvised = new HashSet<>();
+    final Set<String> rejectedWorkerIds = new HashSet<>();
 
     /** The number of tasks that are done. */
     int doneCount;
@@ -58,7 +58,7 @@
      *
      * @return whether all tasks are done
      */
-    boolean done() {
+    boolean isDone() {
         return doneCount == tasks.size();
     }
 
@@ -67,9 +67,9 @@
      *
      * @return whether the step may start
      */
-    boolean unblocked() {
+    boolean areDependenciesDone() {
         for (int earlier : spec.after()) {
-            if (!occurrence.steps.get(earlier).done()) {
+            if (!occurrence.steps.get(earlier).isDone()) {
                 return false;
             }
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -25,19 +25,19 @@
     private static final long WARM_UP_MILLIS = 1_200;
 
     /** The overhead of a move in milliseconds: stopping, starting, and reading the checkpoint. */
-    private static final long MOVE_MILLIS = 1_500;
+    private static final long MOVE_OVERHEAD_MILLIS = 1_500;
 
     /**
      * The minimum ratio of the remaining time without a move to that with a move. Estimates of run
      * times are inaccurate.
      */
-    private static final double GAIN = 2;
+    private static final double MIN_SPEEDUP = 2;
 
     /**
      * The minimum progress rate used in estimates, so that the remaining time of a hanging run is
      * finite.
      */
-    private static final double LEAST_RATE = 0.02;
+    private static final double MIN_RATE = 0.02;
 
     /** The progress rate of a run below which its worker counts as slow. */
     private static final double SLOW_RATE = 0.5;
@@ -46,22 +46,22 @@
      * How long a worker counts as slow, in milliseconds: the time until its runs are measured
      * again.
      */
-    private static final long SLOW_MILLIS = 2_500;
+    private static final long SLOW_WORKER_MILLIS = 2_500;
 
     /** The maximum number of moves of one task. */
-    private static final int MOST_MOVES = 2;
+    private static final int MAX_MOVES_PER_TASK = 2;
 
     /**
      * The maximum number of runs that are being moved at a time, as a fraction of the number of
      * workers.
      */
-    private static final double MOVING_PART = 0.15;
+    private static final double MAX_MOVING_FRACTION = 0.15;
 
     /** The number of runs that may be moved at a time in a cell with few workers. */
-    private static final int LEAST_MOVING = 2;
+    private static final int MIN_MOVING_LIMIT = 2;
 
     /** The progress of a finished run, in percent. */
-    private static final double FULL_PERCENT = 100;
+    private static final double COMPLETE_PERCENT = 100;
 
     /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
@@ -99,13 +99,13 @@
      *
      * @param worker the worker that answered the poll
      */
-    void judge(WorkerRecord worker) {
+    void evaluate(WorkerRecord worker) {
         long now = core.now();
         for (RunRecord run : new ArrayList<>(worker.runs.values())) {
             TaskRecord task = run.task;
-            if (run.phase == RunPhase.RUNNING && task != null && sized(task.step.spec)) {
-                measure(run, task.step.spec, now);
-                if (gain(run, task) && mayMove()) {
+            if (run.phase == RunPhase.RUNNING && task != null && isMeasurable(task.step.spec)) {
+                updateProgressRate(run, task.step.spec, now);
+                if (isWorthMoving(run, task) && mayMove()) {
                     move(run, task);
                 }
             }
@@ -119,27 +119,28 @@
      * @param spec the step of its task
      * @param now the current time, in milliseconds
      */
-    private void measure(RunRecord run, StepSpec spec, long now) {
-        if (run.filling() && run.wantedPercent < RunRecord.FULL_PERCENT) {
-            run.windowBeganMillis = RunRecord.UNKNOWN;
-            run.rate = 1;
+    private void updateProgressRate(RunRecord run, StepSpec spec, long now) {
+        if (run.isFiller() && run.wantedCpuLimitPercent < RunRecord.FULL_PERCENT) {
+            run.windowStartMillis = RunRecord.UNKNOWN;
+            run.progressRate = 1;
             return;
         }
-        if (run.windowBeganMillis == RunRecord.UNKNOWN) {
-            if (run.progressPercent > 0 || now - run.sinceMillis >= WARM_UP_MILLIS) {
+        if (run.windowStartMillis == RunRecord.UNKNOWN) {
+            if (run.progressPercent > 0 || now - run.trackedSinceMillis >= WARM_UP_MILLIS) {
                 run.beginWindow(now);
             }
             return;
         }
-        long span = now - run.windowBeganMillis;
-        if (span < WINDOW_MILLIS) {
+        long windowMillis = now - run.windowStartMillis;
+        if (windowMillis < WINDOW_MILLIS) {
             return;
         }
-        double work = runTimes.expectedMillis(spec) / FULL_PERCENT;
-        run.rate = (run.progressPercent - run.windowPercent) * work / span;
+        double millisPerPercent = runTimes.expectedMillis(spec) / COMPLETE_PERCENT;
+        run.progressRate =
+                (run.progressPercent - run.windowStartPercent) * millisPerPercent / windowMillis;
         run.beginWindow(now);
-        if (!spec.filling() && run.rate < SLOW_RATE) {
-            run.worker.slowUntilMillis = now + SLOW_MILLIS;
+        if (!spec.filling() && run.progressRate < SLOW_RATE) {
+            run.worker.slowUntilMillis = now + SLOW_WORKER_MILLIS;
         }
     }
 
@@ -150,7 +151,7 @@
      * @param spec the step
      * @return whether its runs are measured
      */
-    private static boolean sized(StepSpec spec) {
+    private static boolean isMeasurable(StepSpec spec) {
         return !spec.lasting() && !spec.gang() && spec.estimateMillis() > 0;
     }
 
@@ -161,15 +162,19 @@
      * @param task its task
      * @return whether moving the run pays off and the task has moves left
      */
-    private boolean gain(RunRecord run, TaskRecord task) {
-        if (task.moves >= MOST_MOVES) {
+    private boolean isWorthMoving(RunRecord run, TaskRecord task) {
+        if (task.moveCount >= MAX_MOVES_PER_TASK) {
             return false;
         }
         StepSpec spec = task.step.spec;
-        double whole = runTimes.expectedMillis(spec);
-        double left = whole * (FULL_PERCENT - run.progressPercent) / FULL_PERCENT;
-        double staying = left / Math.max(LEAST_RATE, run.rate);
-        return staying > GAIN * (MOVE_MILLIS + (spec.checkpointing() ? left : whole));
+        double fullRunMillis = runTimes.expectedMillis(spec);
+        double remainingMillis =
+                fullRunMillis * (COMPLETE_PERCENT - run.progressPercent) / COMPLETE_PERCENT;
+        double stayMillis = remainingMillis / Math.max(MIN_RATE, run.progressRate);
+        return stayMillis
+                > MIN_SPEEDUP
+                        * (MOVE_OVERHEAD_MILLIS
+                                + (spec.checkpointing() ? remainingMillis : fullRunMillis));
     }
 
     /**
@@ -187,7 +192,7 @@
                 }
             }
         }
-        return moving < Math.max(LEAST_MOVING, core.workers.size() * MOVING_PART);
+        return moving < Math.max(MIN_MOVING_LIMIT, core.workers.size() * MAX_MOVING_FRACTION);
     }
 
     /**
@@ -198,15 +203,15 @@
      * @param task its task
      */
     private void move(RunRecord run, TaskRecord task) {
-        boolean avoidedBefore = !task.failedAt.add(run.worker.id);
+        boolean alreadyAvoided = !task.avoidedWorkerIds.add(run.worker.id);
         WorkerRecord other = workerSelector.choose(task);
         if (other == null || other == run.worker) {
-            if (!avoidedBefore) {
-                task.failedAt.remove(run.worker.id);
+            if (!alreadyAvoided) {
+                task.avoidedWorkerIds.remove(run.worker.id);
             }
             return;
         }
-        task.moves++;
+        task.moveCount++;
         run.moving = true;
         core.log.log(
                 "run.move",
@@ -219,9 +224,9 @@
                 "progress",
                 run.progressPercent,
                 "rate",
-                run.rate,
+                run.progressRate,
                 "percent",
-                run.percent);
+                run.cpuLimitPercent);
         requestSender.stop(run);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
@@ -20,7 +20,7 @@
     final List<RunRecord> runs = new ArrayList<>(1);
 
     /** The identifiers of the workers on which a run of the task failed or was too slow. */
-    final Set<String> failedAt = new HashSet<>(2);
+    final Set<String> avoidedWorkerIds = new HashSet<>(2);
 
     /** Whether the task is done. */
     boolean done;
@@ -35,19 +35,19 @@
     boolean everRan;
 
     /** The highest number of a run whose end is recorded, 0 for none. */
-    int endedRun;
+    int highestEndedRun;
 
     /** The highest number of a run that was started or reported, 0 for none. */
-    int lastRun;
+    int highestRun;
 
     /** The checkpoint from which the next run resumes, empty for none. */
     String checkpoint = "";
 
     /** The earliest time of the next start, in milliseconds. */
-    long notBeforeMillis;
+    long earliestStartMillis;
 
     /** The number of runs that were stopped to continue on another worker. */
-    int moves;
+    int moveCount;
 
     /** When the task was first found ready to start, in milliseconds, or 0 if it was not yet. */
     long readySinceMillis;
@@ -69,7 +69,7 @@
      * @param nowMillis the current time, in milliseconds
      * @return whether the task is not done, has no run and may start
      */
-    boolean waiting(long nowMillis) {
-        return !done && runs.isEmpty() && nowMillis >= notBeforeMillis;
+    boolean isWaiting(long nowMillis) {
+        return !done && runs.isEmpty() && nowMillis >= earliestStartMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -24,10 +24,10 @@
     private static final int RANK_URGENT = 1;
 
     /** The rank of a long-running task that has not run. */
-    private static final int RANK_LASTING = 2;
+    private static final int RANK_LONG_RUNNING = 2;
 
     /** The rank of a filler. */
-    private static final int RANK_FILLING = 3;
+    private static final int RANK_FILLER = 3;
 
     /** The lateness of work that can meet its objective. */
     private static final int ON_TIME = 0;
@@ -42,10 +42,10 @@
      * The multiple of its objective after which work is of no use, from the platform's
      * documentation.
      */
-    private static final int LATE_FACTOR = 3;
+    private static final int TOO_LATE_FACTOR = 3;
 
     /** The maximum number of starts in a pass, which bounds its duration. A gang is never split. */
-    private static final int MOST_STARTS = 64;
+    private static final int MAX_STARTS_PER_PASS = 64;
 
     /** The state, settings and ports shared by the components of the cell's owner. */
     private final CellCore core;
@@ -66,7 +66,7 @@
     private final OwnershipProof proof;
 
     /** The number of starts in the current pass. */
-    private int started;
+    private int startCount;
 
     /**
      * Creates a scheduler for the jobs of a cell.
@@ -94,22 +94,22 @@
     }
 
     /** Runs one pass over all waiting steps. */
-    void run() {
-        started = 0;
-        List<WaitingStep> steps = new ArrayList<>();
-        long unixLimit = core.runtime.unixMillis() + core.settings.earlyMillis();
+    void runPass() {
+        startCount = 0;
+        List<WaitingStep> waitingSteps = new ArrayList<>();
+        long dueLimitUnixMillis = core.runtime.unixMillis() + core.settings.earlyMillis();
         for (Job job : core.jobs.values()) {
             if (!mayStart(job)) {
                 continue;
             }
-            job.beginDue(unixLimit);
+            job.beginDueOccurrences(dueLimitUnixMillis);
             for (OccurrenceRecord occurrence : job.occurrences.values()) {
-                collect(occurrence, steps);
+                collectWaitingSteps(occurrence, waitingSteps);
             }
         }
-        steps.sort(WaitingStep.ORDER);
-        for (WaitingStep waiting : steps) {
-            if (started >= MOST_STARTS) {
+        waitingSteps.sort(WaitingStep.ORDER);
+        for (WaitingStep waiting : waitingSteps) {
+            if (startCount >= MAX_STARTS_PER_PASS) {
                 return;
             }
             if (waiting.step.spec.gang()) {
@@ -139,27 +139,27 @@
      * wait.
      *
      * @param occurrence the occurrence
-     * @param steps the list to which the steps are added
+     * @param waitingSteps the list to which the steps are added
      */
-    private void collect(OccurrenceRecord occurrence, List<WaitingStep> steps) {
+    private void collectWaitingSteps(OccurrenceRecord occurrence, List<WaitingStep> waitingSteps) {
         long now = core.now();
         for (StepRecord step : occurrence.steps) {
-            if (step.done() || !step.unblocked()) {
+            if (step.isDone() || !step.areDependenciesDone()) {
                 continue;
             }
-            boolean waits = false;
-            boolean hasRun = false;
+            boolean hasWaitingTask = false;
+            boolean hasRunBefore = false;
             for (TaskRecord task : step.tasks) {
-                if (task.waiting(now)) {
-                    waits = true;
-                    hasRun |= task.everRan;
+                if (task.isWaiting(now)) {
+                    hasWaitingTask = true;
+                    hasRunBefore |= task.everRan;
                     if (task.readySinceMillis == 0) {
                         task.readySinceMillis = now;
                     }
                 }
             }
-            if (waits) {
-                steps.add(describe(step, hasRun));
+            if (hasWaitingTask) {
+                waitingSteps.add(toWaitingStep(step, hasRunBefore));
             }
         }
     }
@@ -168,30 +168,30 @@
      * Computes the sort keys of a waiting step.
      *
      * @param step the step
-     * @param hasRun whether one of its waiting tasks has run before
+     * @param hasRunBefore whether one of its waiting tasks has run before
      * @return the step with its sort keys
      */
-    private WaitingStep describe(StepRecord step, boolean hasRun) {
+    private WaitingStep toWaitingStep(StepRecord step, boolean hasRunBefore) {
         StepSpec spec = step.spec;
         Job job = step.occurrence.job;
         int rank = RANK_URGENT;
         if (spec.lasting()) {
-            rank = hasRun ? RANK_RESTART : RANK_LASTING;
+            rank = hasRunBefore ? RANK_RESTART : RANK_LONG_RUNNING;
         } else if (spec.filling()) {
-            rank = RANK_FILLING;
+            rank = RANK_FILLER;
         }
         Route route = core.manifest.byName(job.accepted.route());
         double extension = route == null ? 1 : route.extension();
-        long slack = route == null ? 0 : route.targetLatencyMillis();
+        long slackMillis = route == null ? 0 : route.targetLatencyMillis();
         int priority = route == null ? 0 : route.priority();
-        long chain = remaining(step);
-        long objective = (long) (extension * chainOf(job)) + slack;
-        long latest = core.now() + chain - job.seenMillis;
-        int lateness = latest <= objective ? ON_TIME : LATE;
-        if (latest > LATE_FACTOR * objective) {
+        long remainingMillis = estimateRemainingMillis(step);
+        long objectiveMillis = (long) (extension * estimateJobMillis(job)) + slackMillis;
+        long expectedLatencyMillis = core.now() + remainingMillis - job.firstReadAtMillis;
+        int lateness = expectedLatencyMillis <= objectiveMillis ? ON_TIME : LATE;
+        if (expectedLatencyMillis > TOO_LATE_FACTOR * objectiveMillis) {
             lateness = TOO_LATE;
         }
-        return new WaitingStep(step, rank, lateness, priority, openWork(step));
+        return new WaitingStep(step, rank, lateness, priority, estimateRemainingWork(step));
     }
 
     /**
@@ -200,13 +200,13 @@
      * @param step the first step to count
      * @return the work, in millicores times milliseconds
      */
-    private double openWork(StepRecord step) {
+    private double estimateRemainingWork(StepRecord step) {
         double work = 0;
         for (StepRecord later : step.occurrence.steps) {
             if (later.number >= step.number) {
                 double cpu = later.spec.need().cpuMillicores();
-                int open = later.tasks.size() - later.doneCount;
-                work += open * cpu * runTimes.expectedMillis(later.spec);
+                int openTasks = later.tasks.size() - later.doneCount;
+                work += openTasks * cpu * runTimes.expectedMillis(later.spec);
             }
         }
         return work;
@@ -218,12 +218,12 @@
      * @param job the job
      * @return the time, in milliseconds
      */
-    private long chainOf(Job job) {
-        long chain = 0;
+    private long estimateJobMillis(Job job) {
+        long totalMillis = 0;
         for (StepSpec spec : job.accepted.submission().steps()) {
-            chain += runTimes.expectedMillis(spec);
+            totalMillis += runTimes.expectedMillis(spec);
         }
-        return chain;
+        return totalMillis;
     }
 
     /**
@@ -232,14 +232,14 @@
      * @param step the first step to count
      * @return the time, in milliseconds
      */
-    private long remaining(StepRecord step) {
-        long chain = 0;
+    private long estimateRemainingMillis(StepRecord step) {
+        long totalMillis = 0;
         for (StepRecord later : step.occurrence.steps) {
             if (later.number >= step.number) {
-                chain += runTimes.expectedMillis(later.spec);
+                totalMillis += runTimes.expectedMillis(later.spec);
             }
         }
-        return chain;
+        return totalMillis;
     }
 
     /**
@@ -250,16 +250,17 @@
     private void startTasks(StepRecord step) {
         long now = core.now();
         for (TaskRecord task : step.tasks) {
-            if (!task.waiting(now)) {
+            if (!task.isWaiting(now)) {
                 continue;
             }
             WorkerRecord worker = workerSelector.choose(task);
             if (worker == null) {
-                askFor(step);
+                requestTickets(step);
                 return;
             }
-            requestSender.start(task, worker, nextRun(task.lastRun), advice.ticket(step, worker));
-            started++;
+            requestSender.start(
+                    task, worker, nextRunNumber(task.highestRun), advice.ticket(step, worker));
+            startCount++;
         }
     }
 
@@ -270,23 +271,23 @@
      */
     private void startGang(StepRecord step) {
         long now = core.now();
-        int lastRun = 0;
+        int highestRun = 0;
         for (TaskRecord task : step.tasks) {
-            if (!task.waiting(now)) {
+            if (!task.isWaiting(now)) {
                 return;
             }
-            lastRun = Math.max(lastRun, task.lastRun);
+            highestRun = Math.max(highestRun, task.highestRun);
         }
         List<WorkerRecord> workers = workerSelector.chooseGang(step);
         if (workers.isEmpty()) {
-            askFor(step);
+            requestTickets(step);
             return;
         }
-        int run = nextRun(lastRun);
+        int run = nextRunNumber(highestRun);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
             requestSender.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
-            started++;
+            startCount++;
         }
     }
 
@@ -295,7 +296,7 @@
      *
      * @param step the step, for which no worker was found
      */
-    private void askFor(StepRecord step) {
+    private void requestTickets(StepRecord step) {
         if (advice.needed(step)) {
             advice.ask(step);
         }
@@ -304,11 +305,11 @@
     /**
      * Returns the number of the next run of a task.
      *
-     * @param lastRun the highest known number of a run of the task
+     * @param highestRun the highest known number of a run of the task
      * @return the number, higher than those that any former owner has used
      */
-    private int nextRun(int lastRun) {
-        return Math.max(lastRun, core.term.runBase()) + 1;
+    private int nextRunNumber(int highestRun) {
+        return Math.max(highestRun, core.term.runBase()) + 1;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
@@ -13,28 +13,28 @@
      * The number of submissions that must fail in a row. A single one may be the cause of its
      * failures.
      */
-    private static final int SUSPECT_SUBMISSIONS = 2;
+    private static final int MIN_FAILED_SUBMISSIONS = 2;
 
     /**
      * How long a worker that becomes suspect gets no starts, in milliseconds. The time doubles with
      * each further suspicion.
      */
-    private static final long FIRST_PENALTY_MILLIS = 2_000;
+    private static final long INITIAL_PENALTY_MILLIS = 2_000;
 
     /** The maximum time for which a suspect worker gets no starts, in milliseconds. */
-    private static final long LONGEST_PENALTY_MILLIS = 8_000;
+    private static final long MAX_PENALTY_MILLIS = 8_000;
 
     /** The identifier of the submission that failed last, empty for none. */
-    private String lastFailed = "";
+    private String lastFailedSubmission = "";
 
     /**
      * The number of times in a row that a run failed whose submission differs from that of the
      * failure before.
      */
-    private int failedInRow;
+    private int consecutiveFailures;
 
     /** How long the worker gets no starts if it becomes suspect again, in milliseconds. */
-    private long penaltyMillis = FIRST_PENALTY_MILLIS;
+    private long penaltyMillis = INITIAL_PENALTY_MILLIS;
 
     /** Until when the worker gets no starts, in milliseconds. */
     private long suspectUntilMillis;
@@ -43,10 +43,10 @@
     WorkerFailureDetector() {}
 
     /** Records a successful run, which clears the suspicion. */
-    void done() {
-        lastFailed = "";
-        failedInRow = 0;
-        penaltyMillis = FIRST_PENALTY_MILLIS;
+    void recordSuccess() {
+        lastFailedSubmission = "";
+        consecutiveFailures = 0;
+        penaltyMillis = INITIAL_PENALTY_MILLIS;
         suspectUntilMillis = 0;
     }
 
@@ -57,16 +57,16 @@
      * @param nowMillis the current time, in milliseconds
      * @return whether the worker has become suspect with this failure
      */
-    boolean failed(String submission, long nowMillis) {
-        if (!submission.equals(lastFailed)) {
-            failedInRow++;
-            lastFailed = submission;
+    boolean recordFailure(String submission, long nowMillis) {
+        if (!submission.equals(lastFailedSubmission)) {
+            consecutiveFailures++;
+            lastFailedSubmission = submission;
         }
-        if (failedInRow < SUSPECT_SUBMISSIONS || nowMillis < suspectUntilMillis) {
+        if (consecutiveFailures < MIN_FAILED_SUBMISSIONS || nowMillis < suspectUntilMillis) {
             return false;
         }
         suspectUntilMillis = nowMillis + penaltyMillis;
-        penaltyMillis = Math.min(LONGEST_PENALTY_MILLIS, penaltyMillis * 2);
+        penaltyMillis = Math.min(MAX_PENALTY_MILLIS, penaltyMillis * 2);
         return true;
     }
 
@@ -76,7 +76,7 @@
      * @param nowMillis the current time, in milliseconds
      * @return whether it is suspect
      */
-    boolean suspect(long nowMillis) {
+    boolean isSuspect(long nowMillis) {
         return nowMillis < suspectUntilMillis;
     }
 
@@ -86,7 +86,7 @@
      *
      * @return whether it is on probation
      */
-    boolean onProbation() {
-        return failedInRow >= SUSPECT_SUBMISSIONS;
+    boolean isOnProbation() {
+        return consecutiveFailures >= MIN_FAILED_SUBMISSIONS;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -163,9 +163,9 @@
             if (mayArrive) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.stopAcknowledged = false;
-                record.settledAfterLook = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lookNumber + 1;
             } else {
-                jobTracker.lost(record, "the worker restarted");
+                jobTracker.applyLoss(record, "the worker restarted");
             }
         }
     }
@@ -181,7 +181,7 @@
         for (EndView end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
-                worker.pendingEnds.add(jobTracker.apply(worker, end));
+                worker.pendingEnds.add(jobTracker.applyEnd(worker, end));
             }
         }
         worker.advanceAcknowledgement(core.settled, core.term.runBase());
@@ -192,7 +192,7 @@
         }
         boolean whole = inventory.ended().size() < LONGEST_END_LIST;
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
-            if (whole && !seen.contains(record.key()) && number >= record.settledAfterLook) {
+            if (whole && !seen.contains(record.key()) && number >= record.firstConclusivePoll) {
                 judgeAbsent(record);
             }
         }
@@ -213,10 +213,10 @@
             record.phase = RunPhase.RUNNING;
         }
         if (record.task != null && record.phase == RunPhase.RUNNING) {
-            jobTracker.started(record.task);
+            jobTracker.recordConfirmedRun(record.task);
         }
         record.checkpoint = view.checkpoint();
-        record.load = view.load();
+        record.reportedLoad = view.load();
         record.progressPercent = view.progressPercent();
     }
 
@@ -228,7 +228,7 @@
      * @return the record of the run
      */
     private RunRecord adopt(WorkerRecord worker, RunView view) {
-        TaskRecord task = jobTracker.find(view.task());
+        TaskRecord task = jobTracker.findTask(view.task());
         boolean wanted = task != null && !task.done && elsewhere(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
         RunRecord record =
@@ -240,11 +240,11 @@
                         reserved,
                         RunPhase.RUNNING,
                         core.now());
-        record.percent = RunRecord.UNKNOWN;
-        record.slowed = true;
+        record.cpuLimitPercent = RunRecord.UNKNOWN;
+        record.everThrottled = true;
         worker.add(record);
         if (task != null) {
-            task.lastRun = Math.max(task.lastRun, view.run());
+            task.highestRun = Math.max(task.highestRun, view.run());
         }
         core.log.log(
                 "run.adopted",
@@ -271,7 +271,7 @@
      * @return whether it may
      */
     private static boolean elsewhere(TaskRecord task, RunView view) {
-        return task.runs.isEmpty() && view.run() > task.endedRun;
+        return task.runs.isEmpty() && view.run() > task.highestEndedRun;
     }
 
     /**
@@ -284,12 +284,12 @@
             case UNCERTAIN -> requestSender.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    jobTracker.lost(record, "stopped before it arrived");
+                    jobTracker.applyLoss(record, "stopped before it arrived");
                 } else {
                     requestSender.sendStop(record);
                 }
             }
-            case RUNNING -> jobTracker.lost(record, "the worker no longer lists it");
+            case RUNNING -> jobTracker.applyLoss(record, "the worker no longer lists it");
             default -> {
                 return;
             }
@@ -309,8 +309,9 @@
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
             if (!mayArrive
-                    || core.now() - record.sinceMillis > RunRequestSender.LATEST_ARRIVAL_MILLIS) {
-                jobTracker.lost(record, "the lease of the worker expired");
+                    || core.now() - record.trackedSinceMillis
+                            > RunRequestSender.MAX_ARRIVAL_DELAY_MILLIS) {
+                jobTracker.applyLoss(record, "the lease of the worker expired");
             }
         }
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -209,7 +209,7 @@
     void advanceAcknowledgement(boolean settled, int runBase) {
         while (!pendingEnds.isEmpty()) {
             PendingEnd first = pendingEnds.peekFirst();
-            if (!first.stored() || (!settled && first.run() <= runBase)) {
+            if (!first.isStored() || (!settled && first.run() <= runBase)) {
                 return;
             }
             acknowledgedSequence = first.sequence();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -211,11 +211,11 @@
         boolean busy =
                 now < worker.fullUntilMillis
                         || worker.ordersInFlight >= MOST_ORDERS
-                        || worker.failureDetector.suspect(now);
+                        || worker.failureDetector.isSuspect(now);
         if (!worker.usable(now) || busy || !labelled(spec, worker)) {
             return false;
         }
-        if (worker.failureDetector.onProbation() && !worker.runs.isEmpty()) {
+        if (worker.failureDetector.isOnProbation() && !worker.runs.isEmpty()) {
             return false;
         }
         boolean advised = !adviceNeeded || !advice.ticket(task.step, worker).isEmpty();
@@ -288,7 +288,7 @@
     private static long fillerLoad(WorkerRecord worker) {
         long load = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.filling() && run.task != null) {
+            if (run.isFiller() && run.task != null) {
                 load += run.task.step.spec.need().cpuMillicores();
             }
         }
@@ -305,7 +305,7 @@
         long used = 0;
         for (RunRecord run : worker.runs.values()) {
             long reserved = run.reserved.cpuMillicores();
-            used += run.serving() ? (long) (reserved * SERVING_USE) : reserved;
+            used += run.isServing() ? (long) (reserved * SERVING_USE) : reserved;
         }
         return worker.entry.capacity().cpuMillicores() - used;
     }
@@ -336,7 +336,7 @@
         int serving = 0;
         int others = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.serving() && run.task != null) {
+            if (run.isServing() && run.task != null) {
                 serving++;
                 others += run.task.step.spec.image().equals(image) ? 0 : 1;
             }
@@ -354,7 +354,7 @@
     private double score(TaskRecord task, WorkerRecord worker) {
         StepSpec spec = task.step.spec;
         double capacity = Math.max(1, worker.entry.capacity().cpuMillicores());
-        double score = task.failedAt.contains(worker.id) ? FAILED_HERE : 0;
+        double score = task.avoidedWorkerIds.contains(worker.id) ? FAILED_HERE : 0;
         boolean remote =
                 !spec.dataRack().isEmpty() && !worker.entry.labels().contains(spec.dataRack());
         if (remote) {
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerFailureDetectorTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerFailureDetectorTest.java
@@ -9,22 +9,22 @@
 final class WorkerFailureDetectorTest {
 
     @Test
-    void oneSubmissionThatFailsAgainAndAgainSaysNothing() {
+    void repeatedFailuresOfOneSubmissionDoNotMakeWorkerSuspect() {
         WorkerFailureDetector detector = new WorkerFailureDetector();
         for (int run = 0; run < 5; run++) {
-            assertThat(detector.failed("a", run), is(false));
+            assertThat(detector.recordFailure("a", run), is(false));
         }
     }
 
     @Test
-    void twoSubmissionsInARowMakeItSuspectUntilOneIsDone() {
+    void failuresOfTwoSubmissionsMakeWorkerSuspectUntilARunSucceeds() {
         WorkerFailureDetector detector = new WorkerFailureDetector();
-        detector.failed("a", 0);
-        assertThat(detector.failed("b", 10), is(true));
-        assertThat(detector.suspect(11), is(true));
-        assertThat(detector.suspect(5_000), is(false));
-        assertThat(detector.onProbation(), is(true));
-        detector.done();
-        assertThat(detector.onProbation(), is(false));
+        detector.recordFailure("a", 0);
+        assertThat(detector.recordFailure("b", 10), is(true));
+        assertThat(detector.isSuspect(11), is(true));
+        assertThat(detector.isSuspect(5_000), is(false));
+        assertThat(detector.isOnProbation(), is(true));
+        detector.recordSuccess();
+        assertThat(detector.isOnProbation(), is(false));
     }
 }
