--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -78,7 +78,7 @@
      * @return the ticket, empty if there is none or it can no longer be used
      */
     String usableTicket(StepRecord step, WorkerRecord worker) {
-        AdviceTicket ticket = step.tickets.get(worker.id);
+        AdviceTicket ticket = step.ticketsByWorkerId.get(worker.id);
         return ticket != null && ticket.isUsable(worker, context.now()) ? ticket.value() : "";
     }
 
@@ -97,7 +97,8 @@
         for (WorkerRecord worker : context.allWorkers()) {
             boolean hasCapacity = worker.free().covers(step.spec.reserved());
             boolean ticketMissing =
-                    !step.unadvised.contains(worker.id) && usableTicket(step, worker).isEmpty();
+                    !step.rejectedWorkerIds.contains(worker.id)
+                            && usableTicket(step, worker).isEmpty();
             if (hasCapacity && ticketMissing && worker.usable(now)) {
                 candidates.add(worker);
             }
@@ -152,9 +153,9 @@
         for (WorkerRecord worker : requested) {
             String ticket = reply.tickets().get(worker.id);
             if (ticket == null) {
-                step.unadvised.add(worker.id);
+                step.rejectedWorkerIds.add(worker.id);
             } else {
-                step.tickets.put(
+                step.ticketsByWorkerId.put(
                         worker.id,
                         new AdviceTicket(ticket, worker.bornUnixMillis, validUntilMillis));
             }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -299,7 +299,7 @@
                     1,
                     () -> {
                         passScheduled = false;
-                        taskScheduler.run();
+                        taskScheduler.runPass();
                     });
         }
     }
@@ -308,7 +308,7 @@
      * Publishes the pending counts of the cell if they have changed, and schedules the next check.
      */
     private void publishCounts() {
-        Map<String, Integer> counts = jobTracker.pending();
+        Map<String, Integer> counts = jobTracker.countQueuedByRoute();
         if (!counts.equals(publishedCounts)) {
             publishedCounts = counts;
             StoreTransaction commit = new StoreTransaction();
@@ -357,7 +357,7 @@
                 ownership.verify();
             }
             fillerThrottle.evaluate(worker);
-            stragglerMitigator.judge(worker);
+            stragglerMitigator.evaluate(worker);
             schedulePass();
         }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -78,7 +78,7 @@
         if (spec.lasting()) {
             return true;
         }
-        long untilDoneMillis = run.sinceMillis + runTimes.expectedMillis(spec) - now;
+        long untilDoneMillis = run.trackedSinceMillis + runTimes.expectedMillis(spec) - now;
         return spec.checkpointing()
                 && untilLeaveMillis < CHECKPOINT_STOP_LEAD_MILLIS
                 && untilDoneMillis > untilLeaveMillis;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -171,9 +171,9 @@
             if (mayArrive) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.stopAcknowledged = false;
-                record.settledAfterLook = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lookNumber + 1;
             } else {
-                jobTracker.lost(record, "the worker restarted");
+                jobTracker.applyLoss(record, "the worker restarted");
             }
         }
     }
@@ -190,7 +190,7 @@
         for (EndedRun end : inventory.ended()) {
             if (end.sequence() > worker.takenSequence) {
                 worker.takenSequence = end.sequence();
-                worker.pendingEnds.add(jobTracker.apply(worker, end));
+                worker.pendingEnds.add(jobTracker.applyEnd(worker, end));
             }
         }
         worker.advanceAcknowledgement(context.previousOwnersFenced, context.term.runNumberBase());
@@ -203,7 +203,7 @@
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
             if (complete
                     && !listedKeys.contains(record.key())
-                    && pollNumber >= record.settledAfterLook) {
+                    && pollNumber >= record.firstConclusivePoll) {
                 onMissingRun(record);
             }
         }
@@ -224,10 +224,10 @@
             record.phase = RunPhase.RUNNING;
         }
         if (record.task != null && record.phase == RunPhase.RUNNING) {
-            jobTracker.started(record.task);
+            jobTracker.recordConfirmedRun(record.task);
         }
         record.checkpoint = view.checkpoint();
-        record.load = view.load();
+        record.reportedLoad = view.load();
         record.progressPercent = view.progressPercent();
     }
 
@@ -240,7 +240,7 @@
      * @return the record of the run
      */
     private RunRecord adoptRun(WorkerRecord worker, ActiveRun view) {
-        TaskRecord task = jobTracker.find(view.task());
+        TaskRecord task = jobTracker.findTask(view.task());
         boolean wanted = task != null && !task.done && mayContinue(task, view);
         Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
         RunRecord record =
@@ -252,11 +252,11 @@
                         reserved,
                         RunPhase.RUNNING,
                         context.now());
-        record.percent = RunRecord.UNKNOWN;
-        record.slowed = true;
+        record.cpuLimitPercent = RunRecord.UNKNOWN;
+        record.everThrottled = true;
         worker.add(record);
         if (task != null) {
-            task.lastRun = Math.max(task.lastRun, view.run());
+            task.highestRun = Math.max(task.highestRun, view.run());
         }
         context.log.log(
                 "run.adopted",
@@ -283,7 +283,7 @@
      *     a higher one has ended
      */
     private static boolean mayContinue(TaskRecord task, ActiveRun view) {
-        return task.runs.isEmpty() && view.run() > task.endedRun;
+        return task.runs.isEmpty() && view.run() > task.highestEndedRun;
     }
 
     /**
@@ -297,12 +297,13 @@
             case UNCERTAIN -> requestSender.stop(record);
             case STOPPING -> {
                 if (record.stopAcknowledged) {
-                    jobTracker.lost(record, "the run was stopped before its start order arrived");
+                    jobTracker.applyLoss(
+                            record, "the run was stopped before its start order arrived");
                 } else {
                     requestSender.sendStop(record);
                 }
             }
-            case RUNNING -> jobTracker.lost(record, "the worker no longer lists the run");
+            case RUNNING -> jobTracker.applyLoss(record, "the worker no longer lists the run");
             default -> {
                 return;
             }
@@ -323,9 +324,9 @@
             boolean mayArrive =
                     record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
             if (!mayArrive
-                    || context.now() - record.sinceMillis
-                            > RunRequestSender.LATEST_ARRIVAL_MILLIS) {
-                jobTracker.lost(record, "the lease of the worker expired");
+                    || context.now() - record.trackedSinceMillis
+                            > RunRequestSender.MAX_ARRIVAL_DELAY_MILLIS) {
+                jobTracker.applyLoss(record, "the lease of the worker expired");
             }
         }
     }
