--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabLoop.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabLoop.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.damasktiller.node.process.LoopRuntime;
+import org.damasktiller.node.process.EventLoopRuntime;
 import org.damasktiller.platform.http.EventLoops;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
@@ -27,7 +27,7 @@
     public LabLoop(String name, Consumer<String> faults) {
         eventloop = EventLoops.start(name);
         runtime =
-                new LoopRuntime(
+                new EventLoopRuntime(
                         eventloop,
                         Clock.systemUTC(),
                         (event, fields) -> faults.accept(event + ' ' + Arrays.toString(fields)));
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 import org.damasktiller.error.DamasktillerException;
-import org.damasktiller.node.cluster.Cluster;
+import org.damasktiller.node.cluster.ClusterMember;
 import org.damasktiller.platform.ingress.CallerFormats;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
@@ -43,7 +43,7 @@
     private final SubmissionStateHandler stateHandler;
 
     /** Provides the pending count of each route. */
-    private final Cluster clusterMember;
+    private final ClusterMember clusterMember;
 
     /** The clock from which deadlines are computed. */
     private final ProcessRuntime runtime;
@@ -71,7 +71,7 @@
             Supplier<@Nullable Manifest> manifest,
             SubmissionAcceptor acceptor,
             SubmissionStateHandler stateHandler,
-            Cluster clusterMember,
+            ClusterMember clusterMember,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.manifest = manifest;
@@ -130,7 +130,7 @@
         }
         String id = path.substring(route.pathPrefix().length());
         if (id.isEmpty() && request.getMethod() == HttpMethod.GET) {
-            return Promise.of(CallerResponse.pending(clusterMember.pending(route.name())));
+            return Promise.of(CallerResponse.pending(clusterMember.pendingCount(route.name())));
         }
         if (!IDENTIFIER_PATTERN.matcher(id).matches()) {
             return Promise.of(
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
@@ -1,7 +1,7 @@
 package org.damasktiller.node.caller;
 
 import java.util.function.Consumer;
-import org.damasktiller.node.cluster.Cluster;
+import org.damasktiller.node.cluster.ClusterMember;
 import org.damasktiller.scheduler.cell.CellKeys;
 import org.damasktiller.scheduler.cell.StoredValues;
 import org.damasktiller.scheduler.model.SubmissionRecord;
@@ -39,7 +39,7 @@
     private final MetadataStore store;
 
     /** Knows the current states of submissions in the cells that this process owns. */
-    private final Cluster clusterMember;
+    private final ClusterMember clusterMember;
 
     /** The clock and the timers. */
     private final ProcessRuntime runtime;
@@ -57,7 +57,10 @@
      * @param log the log
      */
     public SubmissionStateHandler(
-            MetadataStore store, Cluster clusterMember, ProcessRuntime runtime, DecisionLog log) {
+            MetadataStore store,
+            ClusterMember clusterMember,
+            ProcessRuntime runtime,
+            DecisionLog log) {
         this.store = store;
         this.clusterMember = clusterMember;
         this.runtime = runtime;
@@ -172,7 +175,7 @@
         if (record.state().isFinal()) {
             return record.state();
         }
-        SubmissionState ownerState = clusterMember.state(record.cell(), request.id());
+        SubmissionState ownerState = clusterMember.submissionState(record.cell(), request.id());
         return ownerState == null || ownerState.isFinal() ? SubmissionState.RUNNING : ownerState;
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -24,7 +24,7 @@
 public final class CellElection {
 
     /** The delay of an attempt for each rank below the first, in milliseconds. */
-    private static final long RANK_MILLIS = 200;
+    private static final long RANK_DELAY_MILLIS = 200;
 
     /** The cell. */
     private final String cell;
@@ -51,13 +51,13 @@
     private final DecisionLog log;
 
     /** Notified when this process becomes the owner. */
-    private final Winner winner;
+    private final TermListener termListener;
 
     /** Whether an attempt has been started and has no result yet. */
-    private boolean trying;
+    private boolean attemptPending;
 
     /** Whether this process owns the cell. */
-    private boolean owning;
+    private boolean ownsCell;
 
     /**
      * When this process first saw the cell without an owner, on the monotonic clock, in
@@ -66,25 +66,29 @@
     private long vacantSinceMillis = -1;
 
     /**
-     * Creates an election; no attempt is made before {@link #consider} is called.
+     * Creates an election; no attempt is made before {@link #attemptIfVacant} is called.
      *
      * @param cell the cell
      * @param zone the availability zone of the cell, empty if the cell spans all zones
      * @param identity this process
-     * @param cluster the shared dependencies
-     * @param winner notified when this process becomes the owner
+     * @param context the shared dependencies
+     * @param termListener notified when this process becomes the owner
      */
     CellElection(
-            String cell, String zone, NodeIdentity identity, ClusterParts cluster, Winner winner) {
+            String cell,
+            String zone,
+            NodeIdentity identity,
+            ClusterContext context,
+            TermListener termListener) {
         this.cell = cell;
         this.zone = zone;
         this.identity = identity;
-        this.store = cluster.store();
-        this.session = cluster.session();
-        this.view = cluster.view();
-        this.runtime = cluster.runtime();
-        this.log = cluster.log();
-        this.winner = winner;
+        this.store = context.store();
+        this.session = context.session();
+        this.view = context.view();
+        this.runtime = context.runtime();
+        this.log = context.log();
+        this.termListener = termListener;
     }
 
     /**
@@ -92,13 +96,16 @@
      * long enough for the rank of this process. Called at regular intervals and after each change
      * in the view.
      */
-    void consider() {
-        if (owning || trying || !view.synced() || session.lease() == StoreSession.NONE) {
+    void attemptIfVacant() {
+        if (ownsCell
+                || attemptPending
+                || !view.isSynced()
+                || session.leaseId() == StoreSession.NO_LEASE) {
             return;
         }
         ClusterView.Owner owner = view.owner(cell);
-        boolean own = owner != null && owner.record().node().equals(identity.node());
-        if (owner != null && !own) {
+        boolean ownedByThisNode = owner != null && owner.record().node().equals(identity.node());
+        if (owner != null && !ownedByThisNode) {
             vacantSinceMillis = -1;
             return;
         }
@@ -106,17 +113,17 @@
         if (vacantSinceMillis < 0) {
             vacantSinceMillis = now;
         }
-        int rank = own ? 0 : ElectionRank.of(cell, zone, view.nodes(), identity.node());
-        if (now - vacantSinceMillis >= rank * RANK_MILLIS) {
-            trying = true;
+        int rank = ownedByThisNode ? 0 : ElectionRank.of(cell, zone, view.nodes(), identity.node());
+        if (now - vacantSinceMillis >= rank * RANK_DELAY_MILLIS) {
+            attemptPending = true;
             long revision = owner == null ? StoreItem.ABSENT : owner.revision();
-            store.read(CellKeys.head(cell), result -> onHead(result, revision));
+            store.read(CellKeys.head(cell), result -> onHeadRead(result, revision));
         }
     }
 
     /** Records that the term of this process has ended, so that new attempts are possible. */
-    void lost() {
-        owning = false;
+    void onTermEnded() {
+        ownsCell = false;
         vacantSinceMillis = -1;
     }
 
@@ -142,10 +149,10 @@
      * @param result the result of reading the head key
      * @param ownerRevision the expected revision of the owner key, ABSENT if there must be none
      */
-    private void onHead(StoreResult<StoreReading> result, long ownerRevision) {
+    private void onHeadRead(StoreResult<StoreReading> result, long ownerRevision) {
         boolean absent = result.status() == StoreStatus.ABSENT;
         if (result.status() != StoreStatus.OK && !absent) {
-            trying = false;
+            attemptPending = false;
             return;
         }
         StoreItem item = absent ? null : result.require().item();
@@ -157,11 +164,11 @@
                 new Commit()
                         .expect(CellKeys.owner(cell), ownerRevision)
                         .expect(CellKeys.head(cell), headRevision)
-                        .put(CellKeys.owner(cell), StoredValues.write(record), session.lease())
+                        .put(CellKeys.owner(cell), StoredValues.write(record), session.leaseId())
                         .put(
                                 CellKeys.head(cell),
                                 StoredValues.write(new HeadRecord(generation, 0, identity.node())));
-        store.commit(commit, reply -> onCommitted(reply, record));
+        store.commit(commit, reply -> onAttemptResult(reply, record));
     }
 
     /**
@@ -170,8 +177,8 @@
      * @param result the store's response
      * @param record the value of the owner key in the transaction
      */
-    private void onCommitted(StoreResult<CommitReply> result, OwnerRecord record) {
-        trying = false;
+    private void onAttemptResult(StoreResult<CommitReply> result, OwnerRecord record) {
+        attemptPending = false;
         log.log(
                 "election.tried",
                 "cell",
@@ -183,9 +190,9 @@
                 "reason",
                 result.reason());
         if (result.status() == StoreStatus.OK) {
-            owning = true;
+            ownsCell = true;
             vacantSinceMillis = -1;
-            winner.won(
+            termListener.onTermStarted(
                     new CellTerm(
                             record.generation(),
                             record,
@@ -195,13 +202,13 @@
     }
 
     /** Is notified when this process becomes the owner of the cell. */
-    interface Winner {
+    interface TermListener {
 
         /**
          * Called when an attempt has succeeded.
          *
          * @param term the term that begins
          */
-        void won(CellTerm term);
+        void onTermStarted(CellTerm term);
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterParts.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterContext.java
@@ -13,7 +13,7 @@
  * @param runtime the clock and the timers
  * @param log the log
  */
-record ClusterParts(
+record ClusterContext(
         MetadataStore store,
         StoreSession session,
         ClusterView view,
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/Cluster.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -25,25 +25,25 @@
  * part in the election of each cell's owner, and runs a {@link CellOwner} for each cell that it has
  * won. Used on the thread of the event loop only.
  */
-public final class Cluster {
+public final class ClusterMember {
 
     /** The interval at which vacant cells are looked for, in milliseconds. */
-    private static final long CONSIDER_MILLIS = 100;
+    private static final long ELECTION_INTERVAL_MILLIS = 100;
 
     /** The interval at which the registration of this process is checked, in milliseconds. */
-    private static final long ANNOUNCE_MILLIS = 1_000;
+    private static final long REGISTRATION_CHECK_MILLIS = 1_000;
 
     /**
      * The longest round trip for which the store counts as near, in milliseconds: less than a round
      * trip between regions.
      */
-    private static final long NEAR_MILLIS = 25;
+    private static final long NEAR_STORE_MAX_MILLIS = 25;
 
     /**
      * The delay between the first registration of this process and its first election, in
      * milliseconds, in which other processes that start at the same time can register.
      */
-    private static final long SETTLE_MILLIS = 400;
+    private static final long FIRST_ELECTION_DELAY_MILLIS = 400;
 
     /** The identity of this process. */
     private final NodeIdentity identity;
@@ -55,7 +55,7 @@
     private final CellLayout layout;
 
     /** The dependencies that all elections share. */
-    private final ClusterParts parts;
+    private final ClusterContext context;
 
     /** The calls to workers. */
     private final WorkerCalls calls;
@@ -70,7 +70,7 @@
     private final Map<String, CellElection> elections = new HashMap<>();
 
     /** The owners of the cells that this process has won, by the cell's name. */
-    private final Map<String, CellOwner> owned = new HashMap<>();
+    private final Map<String, CellOwner> owners = new HashMap<>();
 
     /** The terms of the cells that this process has won, by the cell's name. */
     private final Map<String, CellTerm> terms = new HashMap<>();
@@ -81,7 +81,7 @@
     /**
      * When the process was first registered, on the monotonic clock, in milliseconds, or -1 before.
      */
-    private long announcedMillis = -1;
+    private long registeredMillis = -1;
 
     /** Whether the process is leaving the cluster. */
     private boolean leaving;
@@ -99,7 +99,7 @@
      * @param runtime the clock and the timers
      * @param log the log
      */
-    public Cluster(
+    public ClusterMember(
             NodeIdentity identity,
             CellLayout layout,
             CellSettings settings,
@@ -116,23 +116,23 @@
         this.advice = advice;
         this.formats = formats;
         StoreSession session = new StoreSession(store, runtime, log, settings.storeLeaseMillis());
-        ClusterView view = new ClusterView(store, runtime, log, this::considerAll);
-        this.parts = new ClusterParts(store, session, view, runtime, log);
+        ClusterView view = new ClusterView(store, runtime, log, this::attemptElections);
+        this.context = new ClusterContext(store, session, view, runtime, log);
     }
 
     /** Starts the lease, the view, the registration and the elections. */
     public void start() {
-        parts.session().start();
-        parts.view().start();
-        announce();
-        consider();
+        context.session().start();
+        context.view().start();
+        registerPeriodically();
+        attemptElectionsPeriodically();
     }
 
     /** Ends the terms of all owned cells, removes their owner keys, and stops taking new cells. */
     public void leave() {
         leaving = true;
-        Map<String, CellOwner> held = new HashMap<>(owned);
-        held.forEach(
+        Map<String, CellOwner> ownersToStop = new HashMap<>(owners);
+        ownersToStop.forEach(
                 (cell, owner) -> {
                     CellTerm term = terms.get(cell);
                     owner.stop("the process is leaving the cluster");
@@ -145,7 +145,7 @@
 
     /** Ends the lease of the process, which removes all keys written under it. */
     public void close() {
-        parts.session().close();
+        context.session().close();
     }
 
     /**
@@ -153,15 +153,15 @@
      *
      * @param next the new version
      */
-    public void manifest(Manifest next) {
+    public void updateManifest(Manifest next) {
         manifest = next;
         for (String service : next.services()) {
             for (String cell : layout.cellsOf(service)) {
-                elections.computeIfAbsent(cell, this::election);
+                elections.computeIfAbsent(cell, this::createElection);
             }
         }
-        owned.values().forEach(owner -> owner.manifest(next));
-        considerAll();
+        owners.values().forEach(owner -> owner.manifest(next));
+        attemptElections();
     }
 
     /**
@@ -169,8 +169,8 @@
      *
      * @return whether the store counts as reachable
      */
-    public boolean storeReachable() {
-        return parts.session().reachable();
+    public boolean isStoreReachable() {
+        return context.session().isReachable();
     }
 
     /**
@@ -180,8 +180,8 @@
      * @param route the name of the route
      * @return the number over all cells
      */
-    public int pending(String route) {
-        return parts.view().pending(route);
+    public int pendingCount(String route) {
+        return context.view().pendingCount(route);
     }
 
     /**
@@ -192,8 +192,8 @@
      * @return the state, or null if this process does not own the cell or does not know the
      *     submission
      */
-    public @Nullable SubmissionState state(String cell, String id) {
-        CellOwner owner = owned.get(cell);
+    public @Nullable SubmissionState submissionState(String cell, String id) {
+        CellOwner owner = owners.get(cell);
         return owner == null ? null : owner.state(id);
     }
 
@@ -203,27 +203,28 @@
      * @param cell the cell's name
      * @return the election
      */
-    private CellElection election(String cell) {
+    private CellElection createElection(String cell) {
         return new CellElection(
-                cell, layout.zoneOf(cell), identity, parts, term -> begin(cell, term));
+                cell, layout.zoneOf(cell), identity, context, term -> startTerm(cell, term));
     }
 
     /** Tries to win vacant cells at regular intervals. */
-    private void consider() {
-        considerAll();
-        parts.runtime().schedule(CONSIDER_MILLIS, this::consider);
+    private void attemptElectionsPeriodically() {
+        attemptElections();
+        context.runtime().schedule(ELECTION_INTERVAL_MILLIS, this::attemptElectionsPeriodically);
     }
 
     /**
      * Tries to win vacant cells, unless the process is leaving, has no manifest, or registered too
      * recently.
      */
-    private void considerAll() {
-        boolean settled =
-                announcedMillis >= 0
-                        && parts.runtime().nowMillis() - announcedMillis >= SETTLE_MILLIS;
-        if (settled && !leaving && manifest != null) {
-            elections.values().forEach(CellElection::consider);
+    private void attemptElections() {
+        boolean electionsAllowed =
+                registeredMillis >= 0
+                        && context.runtime().nowMillis() - registeredMillis
+                                >= FIRST_ELECTION_DELAY_MILLIS;
+        if (electionsAllowed && !leaving && manifest != null) {
+            elections.values().forEach(CellElection::attemptIfVacant);
         }
     }
 
@@ -232,30 +233,30 @@
      * since its key disappears with an expired lease. Waits for the first renewal of the lease,
      * which measures the round trip to the store.
      */
-    private void announce() {
+    private void registerPeriodically() {
         if (leaving) {
             return;
         }
-        String key = ClusterView.NODES + identity.node();
-        boolean shown =
-                parts.view().nodes().stream()
+        String key = ClusterView.NODE_PREFIX + identity.node();
+        boolean registered =
+                context.view().nodes().stream()
                         .anyMatch(record -> record.process().equals(identity.process()));
-        long lease = parts.session().lease();
-        boolean measured = parts.session().distanceMillis() != Long.MAX_VALUE;
-        if (!shown && lease != StoreSession.NONE && measured) {
+        long leaseId = context.session().leaseId();
+        boolean latencyKnown = context.session().fastestRenewalMillis() != Long.MAX_VALUE;
+        if (!registered && leaseId != StoreSession.NO_LEASE && latencyKnown) {
             NodeRecord record =
                     new NodeRecord(
                             identity.node(),
                             identity.process(),
                             identity.zone(),
-                            parts.session().distanceMillis() <= NEAR_MILLIS);
-            parts.store()
+                            context.session().fastestRenewalMillis() <= NEAR_STORE_MAX_MILLIS);
+            context.store()
                     .commit(
-                            new Commit().put(key, StoredValues.write(record), lease),
-                            result -> onAnnounced(result.status()));
+                            new Commit().put(key, StoredValues.write(record), leaseId),
+                            result -> onRegistered(result.status()));
         }
-        long pause = announcedMillis < 0 ? CONSIDER_MILLIS : ANNOUNCE_MILLIS;
-        parts.runtime().schedule(pause, this::announce);
+        long pause = registeredMillis < 0 ? ELECTION_INTERVAL_MILLIS : REGISTRATION_CHECK_MILLIS;
+        context.runtime().schedule(pause, this::registerPeriodically);
     }
 
     /**
@@ -263,9 +264,9 @@
      *
      * @param status the result of the call to the store
      */
-    private void onAnnounced(StoreStatus status) {
-        if (status == StoreStatus.OK && announcedMillis < 0) {
-            announcedMillis = parts.runtime().nowMillis();
+    private void onRegistered(StoreStatus status) {
+        if (status == StoreStatus.OK && registeredMillis < 0) {
+            registeredMillis = context.runtime().nowMillis();
         }
     }
 
@@ -275,7 +276,7 @@
      * @param cell the cell's name
      * @param term the term that begins
      */
-    private void begin(String cell, CellTerm term) {
+    private void startTerm(String cell, CellTerm term) {
         Manifest inForce = manifest;
         if (inForce == null) {
             return;
@@ -283,12 +284,12 @@
         CellEnvironment environment =
                 new CellEnvironment(
                         settings,
-                        parts.store(),
+                        context.store(),
                         calls,
                         advice,
                         formats,
-                        parts.runtime(),
-                        parts.log(),
+                        context.runtime(),
+                        context.log(),
                         inForce);
         CellOwner owner =
                 new CellOwner(
@@ -296,8 +297,8 @@
                         cell,
                         term,
                         entry -> layout.cellOf(entry.service(), entry.zone()).equals(cell),
-                        reason -> end(cell));
-        owned.put(cell, owner);
+                        reason -> endTerm(cell));
+        owners.put(cell, owner);
         terms.put(cell, term);
         owner.start();
         if (leaving) {
@@ -310,12 +311,12 @@
      *
      * @param cell the cell's name
      */
-    private void end(String cell) {
-        owned.remove(cell);
+    private void endTerm(String cell) {
+        owners.remove(cell);
         terms.remove(cell);
         CellElection election = elections.get(cell);
         if (election != null) {
-            election.lost();
+            election.onTermEnded();
         }
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -23,16 +23,16 @@
 public final class ClusterView implements PrefixWatch.Listener {
 
     /** The prefix of the keys that register living processes; the name of the VM follows. */
-    static final String NODES = CellKeys.PUBLISHED + "node/";
+    static final String NODE_PREFIX = CellKeys.PUBLISHED + "node/";
 
     /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
-    private static final long GROUPING_MILLIS = 40;
+    private static final long BATCHING_DELAY_MILLIS = 40;
 
     /** Watches the published keys. */
     private final PrefixWatch watch;
 
     /** Called after each change except those of pending counts. */
-    private final Runnable changed;
+    private final Runnable changeListener;
 
     /** The owners by the name of the cell. */
     private final Map<String, Owner> owners = new HashMap<>();
@@ -52,13 +52,14 @@
      * @param store the store
      * @param runtime the clock and the timers
      * @param log the log
-     * @param changed called after each change except those of pending counts
+     * @param changeListener called after each change except those of pending counts
      */
     public ClusterView(
-            MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changed) {
-        this.changed = changed;
+            MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changeListener) {
+        this.changeListener = changeListener;
         this.watch =
-                new PrefixWatch(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatch(
+                        CellKeys.PUBLISHED, BATCHING_DELAY_MILLIS, store, runtime, log, this);
     }
 
     /** Reads all keys and starts to watch them. */
@@ -72,7 +73,7 @@
      *
      * @return whether the view is complete
      */
-    public boolean synced() {
+    public boolean isSynced() {
         return synced;
     }
 
@@ -101,7 +102,7 @@
      * @param route the name of the route
      * @return the number over all cells
      */
-    public int pending(String route) {
+    public int pendingCount(String route) {
         return pending.values().stream()
                 .mapToInt(record -> record.byRoute().getOrDefault(route, 0))
                 .sum();
@@ -116,7 +117,7 @@
             put(item);
         }
         synced = true;
-        changed.run();
+        changeListener.run();
     }
 
     @Override
@@ -128,7 +129,7 @@
             put(item);
         }
         if (!event.key().startsWith(CellKeys.PENDING)) {
-            changed.run();
+            changeListener.run();
         }
     }
 
@@ -151,10 +152,10 @@
             if (record != null) {
                 pending.put(key.substring(CellKeys.PENDING.length()), record);
             }
-        } else if (key.startsWith(NODES)) {
+        } else if (key.startsWith(NODE_PREFIX)) {
             NodeRecord record = StoredValues.read(item.value(), NodeRecord.class);
             if (record != null) {
-                nodes.put(key.substring(NODES.length()), record);
+                nodes.put(key.substring(NODE_PREFIX.length()), record);
             }
         }
     }
@@ -169,8 +170,8 @@
             owners.remove(key.substring(CellKeys.OWNERS.length()));
         } else if (key.startsWith(CellKeys.PENDING)) {
             pending.remove(key.substring(CellKeys.PENDING.length()));
-        } else if (key.startsWith(NODES)) {
-            nodes.remove(key.substring(NODES.length()));
+        } else if (key.startsWith(NODE_PREFIX)) {
+            nodes.remove(key.substring(NODE_PREFIX.length()));
         }
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ElectionRank.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ElectionRank.java
@@ -31,7 +31,7 @@
                         .thenComparing(record -> !record.near())
                         .thenComparingInt(record -> (cell + '/' + record.node()).hashCode());
         List<String> ranked = nodes.stream().sorted(order).map(NodeRecord::node).toList();
-        int place = ranked.indexOf(node);
-        return place < 0 ? ranked.size() : place;
+        int rank = ranked.indexOf(node);
+        return rank < 0 ? ranked.size() : rank;
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestWatcher.java
@@ -16,10 +16,10 @@
  * Watches the operator's manifest in the store and notifies a listener of each new version. Items
  * with an older revision are ignored, so that the current manifest never goes back.
  */
-public final class ManifestFollower implements PrefixWatch.Listener {
+public final class ManifestWatcher implements PrefixWatch.Listener {
 
     /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
-    private static final long GROUPING_MILLIS = 20;
+    private static final long BATCHING_DELAY_MILLIS = 20;
 
     /** Decodes the manifest and knows its key. */
     private final PlatformFormats formats;
@@ -48,7 +48,7 @@
      * @param log the log
      * @param listener notified of each new version
      */
-    public ManifestFollower(
+    public ManifestWatcher(
             MetadataStore store,
             PlatformFormats formats,
             ProcessRuntime runtime,
@@ -58,7 +58,8 @@
         this.log = log;
         this.listener = listener;
         this.watch =
-                new PrefixWatch(formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatch(
+                        formats.manifestKey(), BATCHING_DELAY_MILLIS, store, runtime, log, this);
     }
 
     /** Reads the manifest and starts to watch it. */
@@ -77,14 +78,14 @@
 
     @Override
     public void onSnapshot(List<StoreItem> items, long highestRevision) {
-        items.forEach(this::take);
+        items.forEach(this::applyIfNewer);
     }
 
     @Override
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
         if (item != null) {
-            take(item);
+            applyIfNewer(item);
         }
     }
 
@@ -93,7 +94,7 @@
      *
      * @param item the stored item
      */
-    private void take(StoreItem item) {
+    private void applyIfNewer(StoreItem item) {
         if (!item.key().equals(formats.manifestKey()) || item.revision() <= revision) {
             return;
         }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
@@ -15,16 +15,16 @@
 public final class StoreSession {
 
     /** Stands for the identifier of a lease while there is none. */
-    public static final long NONE = 0;
+    public static final long NO_LEASE = 0;
 
     /** The interval between renewals, in milliseconds: a quarter of the default lease duration. */
-    private static final long RENEW_MILLIS = 500;
+    private static final long RENEWAL_INTERVAL_MILLIS = 500;
 
     /** The delay before a failed call is retried, in milliseconds. */
-    private static final long RETRY_MILLIS = 150;
+    private static final long RETRY_DELAY_MILLIS = 150;
 
     /** How long the store counts as reachable after its last response, in milliseconds. */
-    private static final long REACHABLE_MILLIS = 1_800;
+    private static final long REACHABILITY_WINDOW_MILLIS = 1_800;
 
     /** The store. */
     private final MetadataStore store;
@@ -36,18 +36,18 @@
     private final DecisionLog log;
 
     /** The requested duration of the lease without a renewal, in milliseconds. */
-    private final long lifeMillis;
+    private final long leaseDurationMillis;
 
     /** The identifier of the current lease, or NONE. */
-    private long lease = NONE;
+    private long leaseId = NO_LEASE;
 
     /**
      * When the store last granted or renewed the lease, on the monotonic clock, in milliseconds.
      */
-    private long answeredAtMillis;
+    private long lastResponseMillis;
 
     /** The round-trip time of the fastest renewal, in milliseconds; MAX_VALUE before the first. */
-    private long fastestMillis = Long.MAX_VALUE;
+    private long fastestRenewalMillis = Long.MAX_VALUE;
 
     /** Whether the store was reachable at the last check, to log changes only. */
     private boolean reachable;
@@ -61,31 +61,36 @@
      * @param store the store
      * @param runtime the clock and the timers
      * @param log the log
-     * @param lifeMillis the requested duration of the lease without a renewal, in milliseconds
+     * @param leaseDurationMillis the requested duration of the lease without a renewal, in
+     *     milliseconds
      */
     public StoreSession(
-            MetadataStore store, ProcessRuntime runtime, DecisionLog log, long lifeMillis) {
+            MetadataStore store,
+            ProcessRuntime runtime,
+            DecisionLog log,
+            long leaseDurationMillis) {
         this.store = store;
         this.runtime = runtime;
         this.log = log;
-        this.lifeMillis = lifeMillis;
-        this.answeredAtMillis = runtime.nowMillis() - REACHABLE_MILLIS;
+        this.leaseDurationMillis = leaseDurationMillis;
+        this.lastResponseMillis = runtime.nowMillis() - REACHABILITY_WINDOW_MILLIS;
     }
 
     /** Requests a lease and retries until it is granted. */
     public void start() {
         if (!closed) {
-            store.grantLease(lifeMillis, this::onGranted);
+            store.grantLease(leaseDurationMillis, this::onGranted);
         }
     }
 
     /** Stops the renewals and ends the lease, which removes all keys written under it. */
     public void close() {
         closed = true;
-        if (lease != NONE) {
+        if (leaseId != NO_LEASE) {
             store.endLease(
-                    lease,
-                    result -> log.log("session.closed", "lease", lease, "status", result.status()));
+                    leaseId,
+                    result ->
+                            log.log("session.closed", "lease", leaseId, "status", result.status()));
         }
     }
 
@@ -94,8 +99,8 @@
      *
      * @return the identifier, or NONE if no lease is held
      */
-    public long lease() {
-        return lease;
+    public long leaseId() {
+        return leaseId;
     }
 
     /**
@@ -103,16 +108,17 @@
      *
      * @return whether the store counts as reachable
      */
-    public boolean reachable() {
-        boolean now = runtime.nowMillis() - answeredAtMillis < REACHABLE_MILLIS;
-        if (now != reachable) {
-            reachable = now;
+    public boolean isReachable() {
+        boolean nowReachable =
+                runtime.nowMillis() - lastResponseMillis < REACHABILITY_WINDOW_MILLIS;
+        if (nowReachable != reachable) {
+            reachable = nowReachable;
             log.log(
-                    now ? "store.regained" : "store.lost",
+                    nowReachable ? "store.regained" : "store.lost",
                     "answeredAgo",
-                    runtime.nowMillis() - answeredAtMillis);
+                    runtime.nowMillis() - lastResponseMillis);
         }
-        return now;
+        return nowReachable;
     }
 
     /**
@@ -121,8 +127,8 @@
      *
      * @return the time, in milliseconds; {@link Long#MAX_VALUE} before the first renewal
      */
-    public long distanceMillis() {
-        return fastestMillis;
+    public long fastestRenewalMillis() {
+        return fastestRenewalMillis;
     }
 
     /**
@@ -135,13 +141,13 @@
             return;
         }
         if (result.status() != StoreStatus.OK) {
-            reachable();
-            runtime.schedule(RETRY_MILLIS, this::start);
+            isReachable();
+            runtime.schedule(RETRY_DELAY_MILLIS, this::start);
             return;
         }
-        lease = result.require().id();
-        answeredAtMillis = runtime.nowMillis();
-        log.log("session.began", "lease", lease, "lifeMillis", result.require().lifeMillis());
+        leaseId = result.require().id();
+        lastResponseMillis = runtime.nowMillis();
+        log.log("session.began", "lease", leaseId, "lifeMillis", result.require().lifeMillis());
         renew();
     }
 
@@ -150,8 +156,8 @@
         if (closed) {
             return;
         }
-        long sent = runtime.nowMillis();
-        store.keepLease(lease, result -> onRenewed(result, sent));
+        long sentMillis = runtime.nowMillis();
+        store.keepLease(leaseId, result -> onRenewed(result, sentMillis));
     }
 
     /**
@@ -165,18 +171,18 @@
         if (closed) {
             return;
         }
-        long now = runtime.nowMillis();
+        long nowMillis = runtime.nowMillis();
         if (result.status() == StoreStatus.OK) {
-            answeredAtMillis = now;
-            fastestMillis = Math.min(fastestMillis, now - sentMillis);
-            runtime.schedule(RENEW_MILLIS, this::renew);
+            lastResponseMillis = nowMillis;
+            fastestRenewalMillis = Math.min(fastestRenewalMillis, nowMillis - sentMillis);
+            runtime.schedule(RENEWAL_INTERVAL_MILLIS, this::renew);
         } else if (result.status() == StoreStatus.ABSENT) {
-            log.log("session.lapsed", "lease", lease);
-            lease = NONE;
+            log.log("session.lapsed", "lease", leaseId);
+            leaseId = NO_LEASE;
             start();
         } else {
-            runtime.schedule(RETRY_MILLIS, this::renew);
+            runtime.schedule(RETRY_DELAY_MILLIS, this::renew);
         }
-        reachable();
+        isReachable();
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
@@ -1,4 +1,6 @@
-/** Cluster membership, the election of cell owners, and the watch on the operator's manifest. */
+/**
+ * ClusterMember membership, the election of cell owners, and the watch on the operator's manifest.
+ */
 @NullMarked
 package org.damasktiller.node.cluster;
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/log/JsonLineLog.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/log/JsonLineLog.java
@@ -24,10 +24,10 @@
 public final class JsonLineLog implements DecisionLog {
 
     /** The maximum number of lines of one event name in a window. */
-    private static final int LINES_PER_SECOND = 400;
+    private static final int MAX_LINES_PER_WINDOW = 400;
 
     /** The maximum number of lines in the queue. */
-    private static final int QUEUE_LINES = 4_096;
+    private static final int QUEUE_CAPACITY_LINES = 4_096;
 
     /** The length of a rate limit's window, in milliseconds. */
     private static final long WINDOW_MILLIS = 1_000;
@@ -36,10 +36,10 @@
     private static final JsonFactory FACTORY = new JsonFactory();
 
     /** The lines that are not written yet. */
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
 
     /** The number of lines in the current window by event name. */
-    private final Map<String, Integer> used = new HashMap<>();
+    private final Map<String, Integer> linesInWindow = new HashMap<>();
 
     /** The wall clock. */
     private final Clock clock;
@@ -48,10 +48,10 @@
     private final String node;
 
     /** The start of the current window, in milliseconds since 1970. */
-    private long windowBegan;
+    private long windowStartMillis;
 
     /** The number of lines dropped since a count was last logged. */
-    private int leftOut;
+    private int droppedLines;
 
     /**
      * Creates a log whose lines stay in the queue until it is started. All events must be logged on
@@ -71,27 +71,27 @@
      * @param output the stream to write to, flushed after each batch of lines
      */
     public void start(OutputStream output) {
-        Thread thread = new Thread(() -> write(output), "log");
+        Thread thread = new Thread(() -> writeQueuedLines(output), "log");
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
     public void log(String event, Object... fields) {
-        long now = clock.millis();
-        if (now - windowBegan >= WINDOW_MILLIS || now < windowBegan) {
-            windowBegan = now;
-            used.clear();
-            if (leftOut > 0) {
-                int count = leftOut;
-                leftOut = 0;
-                offer(line(now, "log.left-out", "lines", count));
+        long nowMillis = clock.millis();
+        if (nowMillis - windowStartMillis >= WINDOW_MILLIS || nowMillis < windowStartMillis) {
+            windowStartMillis = nowMillis;
+            linesInWindow.clear();
+            if (droppedLines > 0) {
+                int count = droppedLines;
+                droppedLines = 0;
+                enqueue(formatLine(nowMillis, "log.left-out", "lines", count));
             }
         }
-        if (used.merge(event, 1, Integer::sum) > LINES_PER_SECOND) {
-            leftOut++;
+        if (linesInWindow.merge(event, 1, Integer::sum) > MAX_LINES_PER_WINDOW) {
+            droppedLines++;
         } else {
-            offer(line(now, event, fields));
+            enqueue(formatLine(nowMillis, event, fields));
         }
     }
 
@@ -100,29 +100,29 @@
      *
      * @param line the line with its line break
      */
-    private void offer(String line) {
+    private void enqueue(String line) {
         if (!queue.offer(line)) {
-            leftOut++;
+            droppedLines++;
         }
     }
 
     /**
      * Formats an event as a line of JSON.
      *
-     * @param now the wall-clock time, in milliseconds since 1970
+     * @param nowMillis the wall-clock time, in milliseconds since 1970
      * @param event the name of the event
      * @param fields alternating names and values
      * @return the line with its line break
      */
-    private String line(long now, String event, Object... fields) {
+    private String formatLine(long nowMillis, String event, Object... fields) {
         StringWriter text = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(text)) {
             generator.writeStartObject();
-            generator.writeNumberField("time", now);
+            generator.writeNumberField("time", nowMillis);
             generator.writeStringField("node", node);
             generator.writeStringField("event", event);
             for (int index = 0; index + 1 < fields.length; index += 2) {
-                write(generator, String.valueOf(fields[index]), fields[index + 1]);
+                writeField(generator, String.valueOf(fields[index]), fields[index + 1]);
             }
             generator.writeEndObject();
         } catch (IOException exception) {
@@ -139,7 +139,7 @@
      * @param value the value of the field
      * @throws IOException never, because the generator writes to memory
      */
-    private static void write(JsonGenerator generator, String name, Object value)
+    private static void writeField(JsonGenerator generator, String name, Object value)
             throws IOException {
         if (value instanceof Long || value instanceof Integer) {
             generator.writeNumberField(name, ((Number) value).longValue());
@@ -157,7 +157,7 @@
      *
      * @param output the stream to write to
      */
-    private void write(OutputStream output) {
+    private void writeQueuedLines(OutputStream output) {
         List<String> lines = new ArrayList<>();
         try {
             while (!Thread.currentThread().isInterrupted()) {
--- a/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
@@ -16,22 +16,22 @@
 public final class EventMetrics implements DecisionLog {
 
     /** The name of the field that holds the duration of an operation, in milliseconds. */
-    private static final String MILLIS = "millis";
+    private static final String DURATION_FIELD = "millis";
 
     /** The name of the field that holds how long a task waited for its start, in milliseconds. */
-    private static final String WAITED = "waited";
+    private static final String WAIT_FIELD = "waited";
 
     /** The name of the field that holds the name of the route. */
-    private static final String ROUTE = "route";
+    private static final String ROUTE_FIELD = "route";
 
-    /** The quantile of the figure p50. */
+    /** The quantile of the statistic p50. */
     private static final double MEDIAN = 0.5;
 
-    /** The quantile of the figure p99. */
-    private static final double TAIL = 0.99;
+    /** The quantile of the statistic p99. */
+    private static final double P99 = 0.99;
 
     /** The log to which events are passed on. */
-    private final DecisionLog next;
+    private final DecisionLog delegate;
 
     /** The counters and histograms by name. */
     private final MetricRegistry registry = new MetricRegistry();
@@ -39,10 +39,10 @@
     /**
      * Creates an empty set of metrics.
      *
-     * @param next the log to which events are passed on
+     * @param delegate the log to which events are passed on
      */
-    public EventMetrics(DecisionLog next) {
-        this.next = next;
+    public EventMetrics(DecisionLog delegate) {
+        this.delegate = delegate;
     }
 
     @Override
@@ -50,35 +50,36 @@
         registry.counter(event).inc();
         String route = "";
         for (int index = 0; index + 1 < fields.length; index += 2) {
-            if (ROUTE.equals(fields[index])) {
+            if (ROUTE_FIELD.equals(fields[index])) {
                 route = "." + fields[index + 1];
             }
         }
         for (int index = 0; index + 1 < fields.length; index += 2) {
-            boolean timed = MILLIS.equals(fields[index]) || WAITED.equals(fields[index]);
-            if (timed && fields[index + 1] instanceof Long time) {
-                histogram(event + '.' + fields[index] + route).update(Math.max(0, time));
+            boolean isDuration =
+                    DURATION_FIELD.equals(fields[index]) || WAIT_FIELD.equals(fields[index]);
+            if (isDuration && fields[index + 1] instanceof Long millis) {
+                histogram(event + '.' + fields[index] + route).update(Math.max(0, millis));
             }
         }
-        next.log(event, fields);
+        delegate.log(event, fields);
     }
 
     /**
      * Renders all metrics as text.
      *
-     * @return one line for each figure of each metric: its name, a space and its value
+     * @return one line for each statistic of each metric: its name, a space and its value
      */
     public String render() {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, Counter> entry : registry.getCounters().entrySet()) {
-            line(text, entry.getKey(), "count", entry.getValue().getCount());
+            appendLine(text, entry.getKey(), "count", entry.getValue().getCount());
         }
         for (Map.Entry<String, Histogram> entry : registry.getHistograms().entrySet()) {
             Snapshot snapshot = entry.getValue().getSnapshot();
-            line(text, entry.getKey(), "count", entry.getValue().getCount());
-            line(text, entry.getKey(), "p50", (long) snapshot.getValue(MEDIAN));
-            line(text, entry.getKey(), "p99", (long) snapshot.getValue(TAIL));
-            line(text, entry.getKey(), "max", snapshot.getMax());
+            appendLine(text, entry.getKey(), "count", entry.getValue().getCount());
+            appendLine(text, entry.getKey(), "p50", (long) snapshot.getValue(MEDIAN));
+            appendLine(text, entry.getKey(), "p99", (long) snapshot.getValue(P99));
+            appendLine(text, entry.getKey(), "max", snapshot.getMax());
         }
         return text.toString();
     }
@@ -94,14 +95,14 @@
     }
 
     /**
-     * Appends a line for one figure of a metric.
+     * Appends a line for one statistic of a metric.
      *
      * @param text the text to append to
      * @param name the name of the metric
-     * @param figure the name of the figure, such as count or p99
-     * @param value the value of the figure
+     * @param statistic the name of the statistic, such as count or p99
+     * @param value the value of the statistic
      */
-    private static void line(StringBuilder text, String name, String figure, long value) {
-        text.append(name).append('.').append(figure).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder text, String name, String statistic, long value) {
+        text.append(name).append('.').append(statistic).append(' ').append(value).append('\n');
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/LoopRuntime.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/EventLoopRuntime.java
@@ -9,13 +9,13 @@
  * Provides the clock and the timers on top of an event loop. A scheduled action that throws an
  * unchecked exception is logged and does not stop the event loop.
  */
-public final class LoopRuntime implements ProcessRuntime {
+public final class EventLoopRuntime implements ProcessRuntime {
 
     /** The number of nanoseconds in a millisecond. */
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** The maximum number of stack frames that are logged for an exception. */
-    private static final int FRAMES = 4;
+    private static final int MAX_LOGGED_FRAMES = 4;
 
     /** The event loop. */
     private final Reactor reactor;
@@ -33,7 +33,7 @@
      * @param clock the wall clock
      * @param log records the failures of scheduled actions
      */
-    public LoopRuntime(Reactor reactor, Clock clock, DecisionLog log) {
+    public EventLoopRuntime(Reactor reactor, Clock clock, DecisionLog log) {
         this.reactor = reactor;
         this.clock = clock;
         this.log = log;
@@ -51,7 +51,7 @@
 
     @Override
     public void schedule(long delayMillis, Runnable action) {
-        reactor.delay(delayMillis, () -> guard(action));
+        reactor.delay(delayMillis, () -> runAndLogFailure(action));
     }
 
     /**
@@ -60,11 +60,11 @@
      *
      * @param action the action
      */
-    private void guard(Runnable action) {
+    private void runAndLogFailure(Runnable action) {
         try {
             action.run();
         } catch (RuntimeException exception) {
-            log.log("program.fault", "error", exception, "at", firstFrame(exception));
+            log.log("program.fault", "error", exception, "at", innermostFrames(exception));
         }
     }
 
@@ -74,10 +74,10 @@
      * @param exception the exception
      * @return the frames, each followed by a space
      */
-    private static String firstFrame(RuntimeException exception) {
+    private static String innermostFrames(RuntimeException exception) {
         StackTraceElement[] frames = exception.getStackTrace();
         StringBuilder text = new StringBuilder();
-        for (int index = 0; index < Math.min(FRAMES, frames.length); index++) {
+        for (int index = 0; index < Math.min(MAX_LOGGED_FRAMES, frames.length); index++) {
             text.append(frames[index]).append(' ');
         }
         return text.toString();
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/Main.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/Main.java
@@ -12,10 +12,10 @@
 public final class Main {
 
     /** The exit code for an invalid command line. */
-    private static final int BAD_COMMAND_LINE = 2;
+    private static final int EXIT_INVALID_COMMAND_LINE = 2;
 
     /** The exit code for settings that are invalid, or an address that can't be listened on. */
-    private static final int BAD_SETTINGS = 3;
+    private static final int EXIT_INVALID_SETTINGS = 3;
 
     /** Prevents instantiation. */
     private Main() {}
@@ -34,7 +34,7 @@
         } catch (ParameterException exception) {
             System.err.println(exception.getMessage());
             parser.usage();
-            System.exit(BAD_COMMAND_LINE);
+            System.exit(EXIT_INVALID_COMMAND_LINE);
         }
         if (options.help) {
             parser.usage();
@@ -45,7 +45,7 @@
             new NodeProcess(path, SettingsReader.read(path)).run();
         } catch (DamasktillerException exception) {
             System.err.println(exception.code() + ": " + exception.getMessage());
-            System.exit(BAD_SETTINGS);
+            System.exit(EXIT_INVALID_SETTINGS);
         }
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -18,8 +18,8 @@
 import org.damasktiller.node.caller.CallerServlet;
 import org.damasktiller.node.caller.SubmissionAcceptor;
 import org.damasktiller.node.caller.SubmissionStateHandler;
-import org.damasktiller.node.cluster.Cluster;
-import org.damasktiller.node.cluster.ManifestFollower;
+import org.damasktiller.node.cluster.ClusterMember;
+import org.damasktiller.node.cluster.ManifestWatcher;
 import org.damasktiller.node.cluster.NodeIdentity;
 import org.damasktiller.node.log.JsonLineLog;
 import org.damasktiller.node.metrics.EventMetrics;
@@ -44,46 +44,46 @@
 public final class NodeProcess {
 
     /** The timeout of a call to the store, in milliseconds. */
-    private static final long STORE_MILLIS = 1_000;
+    private static final long STORE_TIMEOUT_MILLIS = 1_000;
 
     /** The timeout of a watch call, in milliseconds; the store may hold such a call for 1.5 s. */
-    private static final long WATCH_MILLIS = 2_600;
+    private static final long WATCH_TIMEOUT_MILLIS = 2_600;
 
     /** The timeout of a call to a worker, in milliseconds. */
-    private static final long WORKER_MILLIS = 600;
+    private static final long WORKER_TIMEOUT_MILLIS = 600;
 
     /** The timeout of a poll of a worker, in milliseconds; the worker may hold it for 0.5 s. */
-    private static final long LOOK_MILLIS = 1_200;
+    private static final long WORKER_POLL_TIMEOUT_MILLIS = 1_200;
 
     /** The timeout of a call to the advice service, in milliseconds. */
-    private static final long ADVICE_MILLIS = 3_000;
+    private static final long ADVICE_TIMEOUT_MILLIS = 3_000;
 
     /** The time that the load balancer needs to direct callers to other VMs, in milliseconds. */
-    private static final long BALANCER_MILLIS = 3_000;
+    private static final long LOAD_BALANCER_DRAIN_MILLIS = 3_000;
 
     /** The part of the grace period that is reserved for the exit, in milliseconds. */
     private static final long EXIT_MARGIN_MILLIS = 1_000;
 
     /** The interval between checks for requests in flight during shutdown, in milliseconds. */
-    private static final long STOP_POLL_MILLIS = 50;
+    private static final long STOP_POLL_INTERVAL_MILLIS = 50;
 
     /** How long an idle connection is kept open, in milliseconds. */
-    private static final long IDLE_MILLIS = 30_000;
+    private static final long CONNECTION_IDLE_TIMEOUT_MILLIS = 30_000;
 
     /** The timeout for reading a request or writing a response, in milliseconds. */
-    private static final long MESSAGE_MILLIS = 10_000;
+    private static final long READ_WRITE_TIMEOUT_MILLIS = 10_000;
 
     /** The path of the metrics, served on the readiness address. */
     private static final String METRICS_PATH = "/metrics";
 
-    /** The HTTP status of a ready process, and of the metrics. */
-    private static final int READY = 200;
+    /** The HTTP status of the metrics and of a process that is ready for callers. */
+    private static final int HTTP_OK = 200;
 
     /** The HTTP status of a process that is not ready for callers. */
-    private static final int NOT_READY = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     /** The path of the settings file. */
-    private final Path path;
+    private final Path settingsPath;
 
     /** The settings that were read at startup. */
     private final PlatformSettings settings;
@@ -92,28 +92,28 @@
     private final Eventloop eventloop;
 
     /** Writes log events to the standard output. */
-    private final JsonLineLog lines;
+    private final JsonLineLog jsonLog;
 
     /** The log of all components; derives metrics from the events and passes them on. */
     private final EventMetrics log;
 
     /** The clock and the timers. */
-    private final LoopRuntime runtime;
+    private final EventLoopRuntime runtime;
 
     /** The membership of this process in the cluster. */
-    private final Cluster cluster;
+    private final ClusterMember clusterMember;
 
     /** Watches the operator's manifest. */
-    private final ManifestFollower manifest;
+    private final ManifestWatcher manifestWatcher;
 
     /** Serves the requests of callers. */
-    private final CallerServlet servlet;
+    private final CallerServlet callerServlet;
 
     /** The HTTP server for callers. */
-    private final HttpServer callers;
+    private final HttpServer callerServer;
 
     /** The HTTP server for the load balancer's readiness checks and for the metrics. */
-    private final HttpServer readiness;
+    private final HttpServer readinessServer;
 
     /** Whether the shutdown has begun. */
     private boolean stopping;
@@ -121,56 +121,58 @@
     /**
      * Creates a process that is not running yet.
      *
-     * @param path the path of the settings file, which is read again on SIGHUP
+     * @param settingsPath the path of the settings file, which is read again on SIGHUP
      * @param settings the settings
      */
-    public NodeProcess(Path path, PlatformSettings settings) {
-        this.path = path;
+    public NodeProcess(Path settingsPath, PlatformSettings settings) {
+        this.settingsPath = settingsPath;
         this.settings = settings;
         Clock clock = Clock.systemUTC();
         eventloop = EventLoops.create();
-        lines = new JsonLineLog(settings.node(), clock);
-        log = new EventMetrics(lines);
-        runtime = new LoopRuntime(eventloop, clock, log);
+        jsonLog = new JsonLineLog(settings.node(), clock);
+        log = new EventMetrics(jsonLog);
+        runtime = new EventLoopRuntime(eventloop, clock, log);
         MetadataStore store =
                 new HttpMetadataStore(
-                        new PlatformCaller(eventloop, STORE_MILLIS),
-                        new PlatformCaller(eventloop, WATCH_MILLIS),
+                        new PlatformCaller(eventloop, STORE_TIMEOUT_MILLIS),
+                        new PlatformCaller(eventloop, WATCH_TIMEOUT_MILLIS),
                         settings.storeAddress());
         PlatformRecords records = new PlatformRecords();
-        CellLayout layout = new CellLayout(settings.zones());
-        CellSettings cells =
+        CellLayout cellLayout = new CellLayout(settings.zones());
+        CellSettings cellSettings =
                 CellSettings.builder()
                         .impactMillis(settings.bounds().harmMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
                         .longestWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
                         .shortestStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
                         .build();
-        cluster =
-                new Cluster(
+        clusterMember =
+                new ClusterMember(
                         new NodeIdentity(
                                 settings.node(), UUID.randomUUID().toString(), settings.zone()),
-                        layout,
-                        cells,
+                        cellLayout,
+                        cellSettings,
                         store,
                         new HttpWorkerCalls(
-                                new PlatformCaller(eventloop, WORKER_MILLIS),
-                                new PlatformCaller(eventloop, LOOK_MILLIS)),
-                        advice(),
+                                new PlatformCaller(eventloop, WORKER_TIMEOUT_MILLIS),
+                                new PlatformCaller(eventloop, WORKER_POLL_TIMEOUT_MILLIS)),
+                        createAdviceCalls(),
                         records,
                         runtime,
                         log);
-        manifest = new ManifestFollower(store, records, runtime, log, cluster::manifest);
-        servlet =
+        manifestWatcher =
+                new ManifestWatcher(store, records, runtime, log, clusterMember::updateManifest);
+        callerServlet =
                 new CallerServlet(
-                        manifest::current,
-                        new SubmissionAcceptor(store, layout, settings.zone(), runtime, log),
-                        new SubmissionStateHandler(store, cluster, runtime, log),
-                        cluster,
+                        manifestWatcher::current,
+                        new SubmissionAcceptor(store, cellLayout, settings.zone(), runtime, log),
+                        new SubmissionStateHandler(store, clusterMember, runtime, log),
+                        clusterMember,
                         runtime,
                         log);
-        callers = server(servlet, settings.callerAddress());
-        readiness = server(request -> inform(request).toPromise(), settings.readinessAddress());
+        callerServer = newServer(callerServlet, settings.callerAddress());
+        readinessServer =
+                newServer(request -> serveStatus(request).toPromise(), settings.readinessAddress());
     }
 
     /**
@@ -180,7 +182,7 @@
      * @throws DamasktillerException with code BAD_SETTING if an address can't be listened on
      */
     public void run() {
-        lines.start(System.out);
+        jsonLog.start(System.out);
         log.log(
                 "process.start",
                 "zone",
@@ -194,8 +196,8 @@
         ProcessSignals.handle("TERM", () -> eventloop.execute(this::stop));
         ProcessSignals.handle("HUP", () -> eventloop.execute(this::reload));
         try {
-            callers.listen();
-            readiness.listen();
+            callerServer.listen();
+            readinessServer.listen();
         } catch (IOException exception) {
             throw new DamasktillerException(
                     ErrorCode.BAD_SETTING,
@@ -207,8 +209,8 @@
         }
         eventloop.execute(
                 () -> {
-                    manifest.start();
-                    cluster.start();
+                    manifestWatcher.start();
+                    clusterMember.start();
                 });
         eventloop.run();
     }
@@ -218,11 +220,12 @@
      *
      * @return the client, or {@link AdviceCalls#NONE} if the settings have no address
      */
-    private AdviceCalls advice() {
+    private AdviceCalls createAdviceCalls() {
         InetSocketAddress address = settings.adviceAddress();
         return address == null
                 ? AdviceCalls.NONE
-                : new HttpAdviceCalls(new PlatformCaller(eventloop, ADVICE_MILLIS), address);
+                : new HttpAdviceCalls(
+                        new PlatformCaller(eventloop, ADVICE_TIMEOUT_MILLIS), address);
     }
 
     /**
@@ -232,11 +235,11 @@
      * @param address the address to listen on
      * @return the server
      */
-    private HttpServer server(AsyncServlet handler, InetSocketAddress address) {
+    private HttpServer newServer(AsyncServlet handler, InetSocketAddress address) {
         return HttpServer.builder(eventloop, handler)
                 .withListenAddress(address)
-                .withKeepAliveTimeout(Duration.ofMillis(IDLE_MILLIS))
-                .withReadWriteTimeout(Duration.ofMillis(MESSAGE_MILLIS))
+                .withKeepAliveTimeout(Duration.ofMillis(CONNECTION_IDLE_TIMEOUT_MILLIS))
+                .withReadWriteTimeout(Duration.ofMillis(READ_WRITE_TIMEOUT_MILLIS))
                 .build();
     }
 
@@ -246,11 +249,11 @@
      * @param request the request
      * @return the response
      */
-    private HttpResponse inform(HttpRequest request) {
+    private HttpResponse serveStatus(HttpRequest request) {
         if (request.getPath().equals(METRICS_PATH)) {
-            return HttpResponse.ofCode(READY).withPlainText(log.render()).build();
+            return HttpResponse.ofCode(HTTP_OK).withPlainText(log.render()).build();
         }
-        return HttpResponse.ofCode(ready() ? READY : NOT_READY).build();
+        return HttpResponse.ofCode(isReady() ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE).build();
     }
 
     /**
@@ -259,8 +262,8 @@
      *
      * @return whether the process is ready for callers
      */
-    private boolean ready() {
-        return !stopping && manifest.current() != null && cluster.storeReachable();
+    private boolean isReady() {
+        return !stopping && manifestWatcher.current() != null && clusterMember.isStoreReachable();
     }
 
     /**
@@ -269,8 +272,8 @@
      */
     private void reload() {
         try {
-            PlatformSettings read = SettingsReader.read(path);
-            log.log("process.reload", "changed", !read.equals(settings));
+            PlatformSettings reloaded = SettingsReader.read(settingsPath);
+            log.log("process.reload", "changed", !reloaded.equals(settings));
         } catch (DamasktillerException exception) {
             log.log("process.reload-failed", "reason", String.valueOf(exception.getMessage()));
         }
@@ -285,28 +288,29 @@
             return;
         }
         stopping = true;
-        log.log("process.stop", "inFlight", servlet.requestsInFlight());
-        cluster.leave();
-        servlet.closeConnections();
-        long began = runtime.nowMillis();
-        long latest = began + settings.bounds().stopGraceMillis() - EXIT_MARGIN_MILLIS;
-        runtime.schedule(BALANCER_MILLIS, () -> finish(latest));
+        log.log("process.stop", "inFlight", callerServlet.requestsInFlight());
+        clusterMember.leave();
+        callerServlet.closeConnections();
+        long startMillis = runtime.nowMillis();
+        long deadlineMillis =
+                startMillis + settings.bounds().stopGraceMillis() - EXIT_MARGIN_MILLIS;
+        runtime.schedule(LOAD_BALANCER_DRAIN_MILLIS, () -> exitWhenIdle(deadlineMillis));
     }
 
     /**
      * Stops listening for callers and exits once no request is in flight.
      *
-     * @param latestMillis when to exit even with requests in flight, on the monotonic clock, in
+     * @param deadlineMillis when to exit even with requests in flight, on the monotonic clock, in
      *     milliseconds
      */
-    private void finish(long latestMillis) {
-        callers.close();
-        if (servlet.requestsInFlight() > 0 && runtime.nowMillis() < latestMillis) {
-            runtime.schedule(STOP_POLL_MILLIS, () -> finish(latestMillis));
+    private void exitWhenIdle(long deadlineMillis) {
+        callerServer.close();
+        if (callerServlet.requestsInFlight() > 0 && runtime.nowMillis() < deadlineMillis) {
+            runtime.schedule(STOP_POLL_INTERVAL_MILLIS, () -> exitWhenIdle(deadlineMillis));
             return;
         }
-        log.log("process.end", "inFlight", servlet.requestsInFlight());
-        cluster.close();
-        runtime.schedule(STOP_POLL_MILLIS, () -> System.exit(0));
+        log.log("process.end", "inFlight", callerServlet.requestsInFlight());
+        clusterMember.close();
+        runtime.schedule(STOP_POLL_INTERVAL_MILLIS, () -> System.exit(0));
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/ProcessSignals.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/ProcessSignals.java
@@ -33,14 +33,15 @@
                     Proxy.newProxyInstance(
                             ProcessSignals.class.getClassLoader(),
                             new Class<?>[] {handlerClass},
-                            (proxy, method, arguments) -> call(proxy, method, arguments, action));
+                            (proxy, method, arguments) ->
+                                    callHandler(proxy, method, arguments, action));
             Object signal = signalClass.getConstructor(String.class).newInstance(name);
             signalClass
                     .getMethod("handle", signalClass, handlerClass)
                     .invoke(null, signal, handler);
         } catch (ReflectiveOperationException exception) {
             throw new IllegalStateException(
-                    "can't install a handler for signal " + name, exception);
+                    "the handler for signal " + name + " can't be installed", exception);
         }
     }
 
@@ -54,7 +55,8 @@
      * @return the result of the called method
      * @throws InvocationTargetException never
      */
-    private static Object call(Object proxy, Method method, Object[] arguments, Runnable action)
+    private static Object callHandler(
+            Object proxy, Method method, Object[] arguments, Runnable action)
             throws InvocationTargetException {
         return switch (method.getName()) {
             case "handle" -> {
