--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestWatcher.java
@@ -16,10 +16,10 @@
  * Watches the operator's manifest in the store and notifies a listener of each new version. Items
  * with an older revision are ignored, so that the current manifest never goes back.
  */
-public final class ManifestFollower implements PrefixWatcher.Listener {
+public final class ManifestWatcher implements PrefixWatcher.Listener {
 
     /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
-    private static final long GROUPING_MILLIS = 20;
+    private static final long BATCHING_DELAY_MILLIS = 20;
 
     /** Decodes the manifest and knows its key. */
     private final PlatformRecordDecoder formats;
@@ -48,7 +48,7 @@
      * @param log the log
      * @param listener notified of each new version
      */
-    public ManifestFollower(
+    public ManifestWatcher(
             MetadataStore store,
             PlatformRecordDecoder formats,
             ProcessRuntime runtime,
@@ -59,7 +59,7 @@
         this.listener = listener;
         this.watch =
                 new PrefixWatcher(
-                        formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
+                        formats.manifestKey(), BATCHING_DELAY_MILLIS, store, runtime, log, this);
     }
 
     /** Reads the manifest and starts to watch it. */
@@ -78,14 +78,14 @@
 
     @Override
     public void onSnapshot(List<StoreItem> items, long highestRevision) {
-        items.forEach(this::take);
+        items.forEach(this::applyIfNewer);
     }
 
     @Override
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
         if (item != null) {
-            take(item);
+            applyIfNewer(item);
         }
     }
 
@@ -94,7 +94,7 @@
      *
      * @param item the stored item
      */
-    private void take(StoreItem item) {
+    private void applyIfNewer(StoreItem item) {
         if (!item.key().equals(formats.manifestKey()) || item.revision() <= revision) {
             return;
         }
