--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunAudit.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunAudit.java
@@ -54,7 +54,7 @@
     public void started(String worker, TaskId task, int run) {
         starts.merge(task, 1, Integer::sum);
         if (active.merge(task, 1, Integer::sum) > 1) {
-            violations.add("two active runs of " + task + ", run " + run + " on " + worker);
+            violations.add("two runs of " + task + ", run " + run + " on " + worker);
         }
         if (acknowledgedDone.contains(task)) {
             violations.add("start of " + task + " after its end was acknowledged");
