--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
@@ -9,31 +9,34 @@
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.lab.settings.Settings;
 
-/** Selects a command by the first word, reads its settings and runs it. */
+/**
+ * Parses the arguments of the {@code damasktiller} program and runs the command that the first one
+ * names. A setting that is not given as a flag is read from its environment variable.
+ */
 public final class CommandLine {
 
-    /** The name of the program. */
+    /** The name of the program in messages and help texts. */
     private static final String PROGRAM = "damasktiller";
 
-    /** The commands. */
+    /** The available commands. */
     private final List<Command> commands;
 
     /** The environment variables. */
     private final Map<String, String> environment;
 
-    /** Where results go. */
+    /** The stream for results and requested help. */
     private final PrintStream output;
 
-    /** Where errors go. */
+    /** The stream for errors. */
     private final PrintStream errors;
 
     /**
-     * Creates a command line.
+     * Creates a command line with a set of commands.
      *
-     * @param commands the commands
-     * @param environment the environment variables
-     * @param output where results go
-     * @param errors where errors go
+     * @param commands the available commands
+     * @param environment the environment variables, by name
+     * @param output the stream for results and requested help
+     * @param errors the stream for errors
      */
     public CommandLine(
             List<Command> commands,
@@ -47,10 +50,11 @@
     }
 
     /**
-     * Runs one command line.
+     * Parses the arguments and runs the selected command. Errors are printed to the error stream
+     * and are not thrown.
      *
-     * @param arguments the words
-     * @return the exit code
+     * @param arguments the arguments of the program
+     * @return the exit code of the process
      */
     public ExitCode run(String[] arguments) {
         HelpFlag help = new HelpFlag();
@@ -78,9 +82,9 @@
     }
 
     /**
-     * Makes the parser with all commands.
+     * Creates the parser for all commands.
      *
-     * @param help the flag for help
+     * @param help receives the help flag of the program
      * @return the parser
      */
     private JCommander parser(HelpFlag help) {
@@ -95,11 +99,11 @@
     }
 
     /**
-     * Runs the command that was selected, or prints help.
+     * Runs the selected command, or prints help if it is requested or no command is selected.
      *
-     * @param parser the parser after parsing
-     * @param help the flag for help on the whole program
-     * @return the exit code
+     * @param parser the parser, which has parsed the arguments
+     * @param help the help flag of the program
+     * @return the exit code of the process
      */
     private ExitCode dispatch(JCommander parser, HelpFlag help) {
         JCommander selected = parser.getCommands().get(parser.getParsedCommand());
@@ -116,10 +120,10 @@
     }
 
     /**
-     * Tells whether help on a command was asked for.
+     * Returns whether help on a command is requested.
      *
      * @param command the parser of the command
-     * @return whether its flag for help is set
+     * @return whether the help flag of the command is set
      */
     private static boolean asksForHelp(JCommander command) {
         return command.getObjects().stream()
@@ -127,10 +131,10 @@
     }
 
     /**
-     * Returns the text for help.
+     * Formats the help text of the program or of a command.
      *
-     * @param parser the parser
-     * @return the text
+     * @param parser the parser of the program or of the command
+     * @return the help text
      */
     private static String usage(JCommander parser) {
         StringBuilder text = new StringBuilder();
@@ -138,11 +142,11 @@
         return text.toString();
     }
 
-    /** The flag that asks for help. */
+    /** The {@code --help} flag of the program or of one command. */
     private static final class HelpFlag {
 
-        /** Whether help was asked for. */
-        @Parameter(names = "--help", help = true, description = "Print this text")
+        /** Whether the flag is set. */
+        @Parameter(names = "--help", help = true, description = "Print this help text")
         private boolean requested;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/EntryCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/EntryCommand.java
@@ -8,17 +8,19 @@
 import org.damasktiller.platform.settings.SettingsReader;
 
 /** Runs the program of an entry VM in the foreground. */
-@Parameters(commandNames = "entry", commandDescription = "Run the program of an entry VM")
+@Parameters(
+        commandNames = "entry",
+        commandDescription = "Run the entry VM program in the foreground")
 public final class EntryCommand implements Command {
 
-    /** The path of the settings file. */
+    /** The path of the settings file that the platform writes. */
     @Parameter(
             names = "--settings",
             description = "Path of the platform's settings file",
             required = true)
     private String settings = "";
 
-    /** Creates the command. */
+    /** Creates the command; JCommander sets its fields. */
     public EntryCommand() {}
 
     @Override
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExitCode.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExitCode.java
@@ -3,44 +3,44 @@
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
 
-/** Lists the exit codes of the command line. */
+/** The exit codes of the {@code damasktiller} program. */
 public enum ExitCode {
-    /** The command did what was asked. */
+    /** The command succeeded. */
     SUCCESS(0),
     /** The command failed; nothing is known to have changed. */
     FAILURE(1),
-    /** The command line or a setting is wrong; nothing was changed. */
+    /** An argument or a setting is invalid; nothing was changed. */
     USAGE(2),
-    /** The request was refused and was not run. */
+    /** The request was not run and never will be. */
     NOT_RUN(3),
-    /** It is not known whether the request took effect. */
+    /** It is unknown whether the request took effect. */
     OUTCOME_UNKNOWN(4),
-    /** Some accepted work is not accounted for. */
+    /** A local run or a soak did not finish or found a violated guarantee. */
     UNACCOUNTED(5);
 
-    /** The number given to the operating system. */
+    /** The exit status of the process. */
     private final int number;
 
     /**
      * Creates an exit code.
      *
-     * @param number the number
+     * @param number the exit status of the process
      */
     ExitCode(int number) {
         this.number = number;
     }
 
     /**
-     * Returns the number given to the operating system.
+     * Returns the exit status of the process.
      *
-     * @return the number
+     * @return the exit status
      */
     public int number() {
         return number;
     }
 
     /**
-     * Returns the exit code for an error.
+     * Returns the exit code for the error that ended a command.
      *
      * @param failure the error
      * @return the exit code
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExplainCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExplainCommand.java
@@ -9,24 +9,24 @@
 import org.damasktiller.lab.explain.LogReader;
 import org.damasktiller.lab.explain.Timeline;
 
-/** Prints the life of one submission from the logs of the entry VMs. */
+/** Prints the timeline of one submission, read from the logs of the entry VMs. */
 @Parameters(
         commandNames = "explain",
-        commandDescription = "Print the life of a submission from the logs of the entry VMs")
+        commandDescription = "Print the timeline of a submission from the logs of the entry VMs")
 public final class ExplainCommand implements Command {
 
-    /** The submission. */
+    /** The identifier of the submission. */
     @Parameter(names = "--id", description = "Identifier of the submission", required = true)
     private String id = "";
 
-    /** The log files. */
+    /** The paths of the log files. */
     @Parameter(
             names = "--log",
-            description = "Log files of the entry VMs, joined by commas",
+            description = "Log files of the entry VMs, separated by commas",
             required = true)
     private List<String> logs = new ArrayList<>();
 
-    /** Creates the command. */
+    /** Creates the command; JCommander sets its fields. */
     public ExplainCommand() {}
 
     @Override
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/LocalCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/LocalCommand.java
@@ -7,37 +7,40 @@
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.lab.settings.Settings;
 
-/** Runs a deployment on this machine with a short mixed load from a table. */
+/**
+ * Runs a deployment on this machine for a short time: entry VMs as processes, simulated workers,
+ * and callers that submit work of each kind in a table.
+ */
 @Parameters(
         commandNames = "local",
         commandDescription = "Run a deployment on this machine with a short mixed load")
 public final class LocalCommand implements Command {
 
-    /** The longest load, in seconds. */
+    /** The maximum duration of the load, in seconds. */
     private static final long MAXIMUM_SECONDS = 3_600;
 
-    /** The most entry VMs, each a process. */
+    /** The maximum number of entry VMs; each is a process of this machine. */
     private static final long MAXIMUM_ENTRY_VMS = 32;
 
-    /** The file with the table. */
+    /** The path of the file with the table. */
     @Parameter(names = "--table", description = "File with the table as CSV", required = true)
     private String table = "";
 
-    /** The deployment. */
+    /** The deployment whose zones and workers are simulated. */
     @Parameter(
             names = "--deployment",
-            description = "Deployment whose zones and workers are run: CORRIB or CARPATICA")
+            description = "Deployment whose zones and workers are simulated: CORRIB or CARPATICA")
     private Deployment deployment = Deployment.CORRIB;
 
-    /** How long the load lasts. */
-    @Parameter(names = "--seconds", description = "How long the load lasts, in seconds")
+    /** The duration of the load, in seconds. */
+    @Parameter(names = "--seconds", description = "Duration of the load, in seconds")
     private long seconds = 6;
 
     /** The number of entry VMs. */
     @Parameter(names = "--entry-vms", description = "Number of entry VMs, each a process")
     private int entryVms = 4;
 
-    /** Creates the command. */
+    /** Creates the command; JCommander sets its fields. */
     public LocalCommand() {}
 
     @Override
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/Main.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/Main.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The program of the command line. */
+/** Entry point of the {@code damasktiller} program. */
 public final class Main {
 
     /** Prevents instantiation. */
     private Main() {}
 
     /**
-     * Runs one command.
+     * Runs one command and exits with its exit code.
      *
-     * @param arguments the command line
+     * @param arguments the name of the command and its flags
      */
     public static void main(String[] arguments) {
         CommandLine line = new CommandLine(commands(), System.getenv(), System.out, System.err);
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Makes the commands.
+     * Creates all commands of the program.
      *
-     * @return the commands
+     * @return the commands, in the order of the help text
      */
     public static List<Command> commands() {
         return List.of(
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/SoakCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/SoakCommand.java
@@ -11,35 +11,37 @@
 import org.damasktiller.lab.soak.SoakRun;
 import org.damasktiller.lab.soak.SoakSettings;
 
-/** Runs the fault soak with one seed or several. */
+/** Runs the soak test, which injects overlapping faults, once for each selected seed. */
 @Parameters(
         commandNames = "soak",
-        commandDescription = "Run the programs as processes under overlapping faults")
+        commandDescription = "Run a deployment on this machine and inject overlapping faults")
 public final class SoakCommand implements Command {
 
-    /** The longest series of faults, in seconds. */
+    /** The maximum time during which faults are injected, in seconds. */
     private static final long MAXIMUM_SECONDS = 3_600;
 
-    /** The form of a range of seeds. */
+    /** Matches a range of seeds; both ends are included. */
     private static final Pattern RANGE = Pattern.compile("(\\d{1,18})-(\\d{1,18})");
 
-    /** The seed. */
-    @Parameter(names = "--seed", description = "Seed of the plan of faults")
+    /** The seed of a single run; ignored if a range of seeds is given. */
+    @Parameter(names = "--seed", description = "Seed of the fault plan")
     private long seed = 1;
 
-    /** The seeds. */
-    @Parameter(names = "--seeds", description = "Range of seeds, A-B; goes before --seed")
+    /** The range of seeds to run one after the other, empty for a single seed. */
+    @Parameter(names = "--seeds", description = "Range of seeds, A-B; takes precedence over --seed")
     private String seeds = "";
 
-    /** How long faults come. */
-    @Parameter(names = "--for", description = "How long faults come, in seconds")
+    /** How long each run injects faults, in seconds. */
+    @Parameter(names = "--for", description = "How long faults are injected, in seconds")
     private long seconds = 30;
 
-    /** Where the settings and logs of each seed go. */
-    @Parameter(names = "--directory", description = "Where settings and logs of each seed go")
+    /** The directory under which the settings and logs of each seed are written. */
+    @Parameter(
+            names = "--directory",
+            description = "Directory for the settings and logs of each seed")
     private String directory = "target/soak";
 
-    /** Creates the command. */
+    /** Creates the command; JCommander sets its fields. */
     public SoakCommand() {}
 
     @Override
@@ -63,7 +65,9 @@
     /**
      * Returns the seeds to run.
      *
-     * @return the seeds
+     * @return the seeds of the range, or the single seed if no range is given
+     * @throws org.damasktiller.error.DamasktillerException with code BAD_SETTING if the range is
+     *     malformed
      */
     private List<Long> chosen() {
         if (seeds.isEmpty()) {
@@ -71,7 +75,7 @@
         }
         Matcher matcher = RANGE.matcher(seeds);
         if (!matcher.matches()) {
-            throw Settings.refused("--seeds", seeds, "A-B with whole numbers", null);
+            throw Settings.refused("--seeds", seeds, "a range A-B of whole numbers", null);
         }
         List<Long> chosen = new ArrayList<>();
         for (long next = Long.parseLong(matcher.group(1));
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -30,75 +30,75 @@
 import org.damasktiller.table.TableWriter;
 
 /**
- * Checks a table and prints the manifest that its rows make, and reads and edits the table that
- * operators share in the platform's store.
+ * Converts the operators' table to a manifest, and reads and edits the table in the platform's
+ * store. Without a store, the table is read from a file.
  */
 @Parameters(
         commandNames = "table",
         commandDescription = "Check, print and edit the table: manifest, get, put, edit, history")
 public final class TableCommand implements Command {
 
-    /** The actions. */
+    /** The allowed actions, as listed in error messages. */
     private static final String ALLOWED = "manifest, get, put, edit or history";
 
-    /** The number of edits that the history prints. */
+    /** The maximum number of edits that {@code history} prints. */
     private static final int HISTORY_EDITS = 50;
 
-    /** What to do. */
+    /** The action to perform. */
     @Parameter(description = "manifest|get|put|edit|history")
     private String action = "manifest";
 
-    /** The file with the table. */
+    /** The path of the file with the table. */
     @Parameter(names = "--table", description = "File with the table as CSV")
     private String table = "";
 
-    /** The address of the store. */
+    /** The address of the platform's store, empty if none is given. */
     @Parameter(names = "--store", description = "Address of the platform's store, IP:PORT")
     private String store = "";
 
-    /** The deployment. */
+    /** The deployment whose availability zones the table may name. */
     @Parameter(
             names = "--deployment",
             description = "Deployment whose zones the table may name: CORRIB or CARPATICA")
     private Deployment deployment = Deployment.CORRIB;
 
-    /** The service of the routes. */
-    @Parameter(names = "--service", description = "Service whose workers run the rows")
+    /** The name of the service whose workers run the work of every route. */
+    @Parameter(names = "--service", description = "Service whose workers run the work of the table")
     private String service = "workers";
 
-    /** The version of the manifest. */
-    @Parameter(names = "--manifest-version", description = "Version of the manifest")
+    /** The version of the printed manifest. */
+    @Parameter(names = "--manifest-version", description = "Version of the printed manifest")
     private long version = 1;
 
-    /** The version from which an edit started. */
+    /** The version of the table that an edit is based on, 0 for the current version. */
     @Parameter(
             names = "--base",
-            description = "Version from which the edit started; 0 takes the present one")
+            description = "Version of the table that the edit is based on; 0 for the current one")
     private long base;
 
-    /** The row to edit. */
-    @Parameter(names = "--kind", description = "Kind of work, the row to edit")
+    /** The kind of work whose row {@code edit} changes. */
+    @Parameter(names = "--kind", description = "Kind of work whose row is edited")
     private String kind = "";
 
-    /** The column to edit. */
-    @Parameter(names = "--column", description = "Column to edit")
+    /** The column of the cell that {@code edit} changes. */
+    @Parameter(names = "--column", description = "Column of the edited cell")
     private String column = "";
 
-    /** The wanted text of the cell. */
-    @Parameter(names = "--value", description = "Wanted text of the cell")
+    /** The new text of the cell that {@code edit} changes. */
+    @Parameter(names = "--value", description = "New text of the cell")
     private String value = "";
 
-    /** The identity of the edit. */
+    /** The identifier of the edit, which makes a retry idempotent; empty for a random one. */
     @Parameter(
             names = "--edit-id",
-            description = "Identity of the edit; the same one repeats an edit safely")
+            description = "Identifier of the edit; a retry with the same one takes effect once")
     private String editId = "";
 
-    /** The name of the operator. */
-    @Parameter(names = "--operator", description = "Name of the operator, kept in the history")
+    /** The name of the operator that the history records with an edit. */
+    @Parameter(names = "--operator", description = "Name of the operator, recorded in the history")
     private String operator = "operator";
 
-    /** Creates the command. */
+    /** Creates the command; JCommander sets its fields. */
     public TableCommand() {}
 
     @Override
@@ -124,23 +124,23 @@
     }
 
     /**
-     * Reads a file with a table.
+     * Reads a table from a file.
      *
      * @param file the path of the file
      * @param deployment the deployment whose zones the table may name
      * @return the table
-     * @throws org.damasktiller.error.DamasktillerException with code BAD_TABLE and the faulty cell,
-     *     or BAD_SETTING if the file can't be read
+     * @throws org.damasktiller.error.DamasktillerException with code BAD_TABLE and the invalid
+     *     cell, or with code BAD_SETTING if the file cannot be read
      */
     static OperatorTable read(String file, Deployment deployment) {
         return new TableReader(deployment.zones().keySet()).read(bytes(file), 0);
     }
 
     /**
-     * Does what was asked with the table in the store.
+     * Performs the action on the table in the store.
      *
-     * @param session the connection to the table
-     * @param output where results go
+     * @param session the session with the store
+     * @param output the stream for results
      */
     private void act(TableSession session, PrintStream output) {
         switch (action) {
@@ -160,10 +160,11 @@
     }
 
     /**
-     * Puts a whole table; cells that others changed meanwhile are merged.
+     * Replaces the table by that of the file. Cells that other operators have changed since the
+     * base version are merged; a cell that both have changed to different values is refused.
      *
-     * @param session the connection to the table
-     * @return what changed
+     * @param session the session with the store
+     * @return the new version and the changes
      */
     private EditResult put(TableSession session) {
         byte[] csv = bytes(table);
@@ -172,10 +173,10 @@
     }
 
     /**
-     * Edits one cell.
+     * Changes one cell of the table.
      *
-     * @param session the connection to the table
-     * @return what changed
+     * @param session the session with the store
+     * @return the new version and the changes
      */
     private EditResult edit(TableSession session) {
         OperatorTable from =
@@ -188,9 +189,9 @@
     }
 
     /**
-     * Returns the identity of the edit.
+     * Returns the identifier of the edit.
      *
-     * @return the one given, or a new one
+     * @return the given identifier, or a random one if none is given
      */
     private EditId identity() {
         return new EditId(editId.isEmpty() ? UUID.randomUUID().toString() : editId);
@@ -199,7 +200,7 @@
     /**
      * Prints the manifest of a table.
      *
-     * @param output where it goes
+     * @param output the stream to print to
      * @param rows the table
      */
     private void printManifest(PrintStream output, OperatorTable rows) {
@@ -208,10 +209,10 @@
     }
 
     /**
-     * Prints what an edit changed.
+     * Prints the new version of the table and the changed rows of an accepted edit.
      *
-     * @param output where it goes
-     * @param result the result
+     * @param output the stream to print to
+     * @param result the result of the edit
      */
     private static void printResult(PrintStream output, EditResult result) {
         output.println("accepted as version " + result.version());
@@ -223,7 +224,7 @@
     /**
      * Prints one edit of the history.
      *
-     * @param output where it goes
+     * @param output the stream to print to
      * @param delta the edit
      */
     private static void printEdit(PrintStream output, TableDelta delta) {
@@ -239,16 +240,16 @@
     }
 
     /**
-     * Reads a file.
+     * Reads the content of a file.
      *
-     * @param file its path
-     * @return its bytes
+     * @param file the path of the file
+     * @return the content
      */
     private static byte[] bytes(String file) {
         try {
             return Files.readAllBytes(Path.of(file));
         } catch (IOException exception) {
-            throw Settings.refused("--table", file, "a file with a table", exception);
+            throw Settings.refused("--table", file, "a readable file with a table", exception);
         }
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/package-info.java
@@ -1,4 +1,4 @@
-/** The command line. */
+/** The commands of the {@code damasktiller} program and the parsing of their arguments. */
 @NullMarked
 package org.damasktiller.lab.command;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogLine.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogLine.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * One line of the log of an entry VM.
+ * A line of the log of an entry VM, which reports one event.
  *
- * @param unixMillis when, in milliseconds since 1970 by that VM's clock
- * @param node the VM
- * @param event the kind of the event
- * @param fields the other fields, in their order
+ * @param unixMillis the time of the event by the clock of the VM, in milliseconds since 1970
+ * @param node the name of the VM
+ * @param event the name of the event
+ * @param fields the other fields as texts, by name, in the order of the line
  */
 record LogLine(long unixMillis, String node, String event, Map<String, String> fields) {
 
-    /** Keeps the order of the fields. */
+    /** Copies the fields in their order. */
     LogLine {
         fields = Collections.unmodifiableMap(new LinkedHashMap<>(fields));
     }
 
     /**
-     * Returns a field.
+     * Returns the value of a field.
      *
-     * @param name its name
-     * @return the value, empty if it is missing
+     * @param name the name of the field
+     * @return the value, empty if the line has no such field
      */
     String field(String name) {
         return fields.getOrDefault(name, "");
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogLines.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogLines.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The lines of several logs.
+ * The merged lines of the logs of several entry VMs.
  *
- * @param lines the lines, in the order of time
+ * @param lines the lines, in the order of their times
  */
 public record LogLines(List<LogLine> lines) {
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogReader.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogReader.java
@@ -18,24 +18,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads log files of entry VMs. Text that is no line of the log, such as output of the Java machine
- * or what a collector puts before a line, is left out.
+ * Reads log files of entry VMs and merges their lines. Lines without a log event, such as output of
+ * the JVM, are skipped, and so is any prefix that a log collector adds before the JSON object.
  */
 public final class LogReader {
 
-    /** Reads the lines. */
+    /** Parses the JSON object of a line. */
     private final ObjectMapper mapper = JsonMapper.builder().build();
 
     /** Creates a reader. */
     public LogReader() {}
 
     /**
-     * Reads files.
+     * Reads log files.
      *
-     * @param files the files, of one or several VMs
-     * @return their lines in the order of time
-     * @throws org.damasktiller.error.DamasktillerException with code BAD_SETTING if a file can't be
-     *     read
+     * @param files the paths of the files, which may belong to different VMs
+     * @return the lines of all files, in the order of their times
+     * @throws org.damasktiller.error.DamasktillerException with code BAD_SETTING if a file cannot
+     *     be read
      */
     public LogLines read(List<Path> files) {
         List<LogLine> lines = new ArrayList<>();
@@ -48,7 +48,7 @@
                     }
                 }
             } catch (IOException exception) {
-                throw Settings.refused("--log", file.toString(), "a log file", exception);
+                throw Settings.refused("--log", file.toString(), "a readable log file", exception);
             }
         }
         lines.sort(Comparator.comparingLong(LogLine::unixMillis));
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Reads a line.
+     * Parses a line.
      *
-     * @param text the text
-     * @return the line, or null if the text is none
+     * @param text the text of the line
+     * @return the parsed line, or null if the text has no log event
      */
     private @Nullable LogLine parse(String text) {
         int start = text.indexOf('{');
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Returns the text of a field.
+     * Converts the value of a field to text.
      *
-     * @param value the field
-     * @return its text
+     * @param value the value
+     * @return the plain text of a scalar value, the JSON of an object or array
      */
     private static String text(JsonNode value) {
         return value.isValueNode() ? value.asText() : value.toString();
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/Timeline.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/Timeline.java
@@ -6,12 +6,13 @@
 import java.util.Set;
 
 /**
- * The life of one submission: the lines that name it or its tasks, and between its first and its
- * last line what happened to the workers and the cells that it met.
+ * Selects the log lines that explain the course of one submission: those that refer to it or to its
+ * tasks, and, between the first and the last of these, the events of the workers that ran its tasks
+ * and the ownership and store events of the entry VMs that handled it.
  */
 public final class Timeline {
 
-    /** The events of a worker that can explain what became of a run there. */
+    /** The events of a worker that can explain the end or the delay of a run. */
     private static final Set<String> WORKER_EVENTS =
             Set.of(
                     "worker.unlisted",
@@ -21,7 +22,7 @@
                     "worker.gone",
                     "filler.pause");
 
-    /** The events of an owner that can explain a delay. */
+    /** The events of an entry VM that can explain a delay of the cells that it owns. */
     private static final Set<String> OWNER_EVENTS =
             Set.of(
                     "owner.began",
@@ -34,23 +35,23 @@
                     "process.start",
                     "process.stop");
 
-    /** The field of a worker. */
+    /** The field with the identifier of a worker. */
     private static final String WORKER = "worker";
 
-    /** The submission. */
+    /** The identifier of the submission. */
     private final String id;
 
-    /** The lines that name the submission. */
+    /** The lines that refer to the submission or its tasks, in the order of their times. */
     private final List<LogLine> own = new ArrayList<>();
 
-    /** All lines to print, in the order of time. */
+    /** The lines of the timeline, in the order of their times. */
     private final List<LogLine> told = new ArrayList<>();
 
     /**
-     * Creates a timeline.
+     * Creates the timeline of a submission.
      *
-     * @param id the submission
-     * @param logs the logs
+     * @param id the identifier of the submission
+     * @param logs the lines of all logs
      */
     public Timeline(String id, LogLines logs) {
         this.id = id;
@@ -81,22 +82,23 @@
     }
 
     /**
-     * Tells whether no line names the submission.
+     * Returns whether the logs have no line about the submission.
      *
-     * @return whether none does
+     * @return whether no line refers to it
      */
     public boolean isEmpty() {
         return own.isEmpty();
     }
 
     /**
-     * Returns the timeline as text.
+     * Formats the timeline.
      *
-     * @return a line for each event with the time since the first, and a summary at the end
+     * @return one line per event with the time since the first one, and a summary as the last line;
+     *     only a notice if no line refers to the submission
      */
     public List<String> lines() {
         if (own.isEmpty()) {
-            return List.of("no line of these logs names submission " + id);
+            return List.of("no line of these logs refers to submission " + id);
         }
         long first = own.get(0).unixMillis();
         List<String> lines = new ArrayList<>();
@@ -111,7 +113,7 @@
     }
 
     /**
-     * Tells whether a line names the submission or one of its tasks.
+     * Returns whether a line refers to the submission or one of its tasks.
      *
      * @param line the line
      * @return whether it does
@@ -121,10 +123,10 @@
     }
 
     /**
-     * Sums up what the lines say.
+     * Summarizes the runs of the submission and its last event.
      *
-     * @param first the time of the first line, in milliseconds since 1970
-     * @return one line
+     * @param first the time of its first line, in milliseconds since 1970
+     * @return the summary, one line
      */
     private String summary(long first) {
         long starts = count("run.start");
@@ -153,10 +155,10 @@
     }
 
     /**
-     * Counts the events of a kind.
+     * Counts the lines of the submission that report an event.
      *
-     * @param event the kind
-     * @return the number
+     * @param event the name of the event
+     * @return the number of lines
      */
     private long count(String event) {
         return own.stream().filter(line -> line.event().equals(event)).count();
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Explains the life of a submission from logs. */
+/** Reconstructs the course of a submission from the logs of the entry VMs. */
 @NullMarked
 package org.damasktiller.lab.explain;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerLoad.java
@@ -12,52 +12,53 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
 /**
- * Callers: each hands a submission in at entry VMs drawn at random, tries again until it is
- * acknowledged or the tries are used up, and asks for its state until that is final.
+ * Simulates the callers of the entry VMs. Each submission is sent to a random entry VM and retried
+ * at random ones until it is acknowledged or the attempts are used up. Once it is acknowledged, its
+ * state is polled until it is final.
  */
 public final class CallerLoad {
 
-    /** How often a caller tries to hand a submission in. */
+    /** The maximum number of attempts to send a submission. */
     private static final int MOST_TRIES = 40;
 
-    /** The time between two tries and between two questions, in milliseconds. */
+    /** The time between two attempts and between two polls of a state, in milliseconds. */
     private static final long RETRY_MILLIS = 400;
 
-    /** The chance that a submission which was acknowledged arrives once more. */
+    /** The probability that a submission is sent again after it was acknowledged, 0 to 1. */
     private static final double REPEAT_CHANCE = 0.05;
 
-    /** How much later it arrives once more, in milliseconds. */
+    /** The time from the acknowledgement until a submission is sent again, in milliseconds. */
     private static final long REPEAT_MILLIS = 2_500;
 
-    /** The clock and the timers. */
+    /** Schedules retries and polls. */
     private final ProcessRuntime runtime;
 
-    /** Makes the calls. */
+    /** Sends the requests to the entry VMs. */
     private final CallerClient client;
 
-    /** The callers' addresses of the entry VMs. */
+    /** The addresses at which the entry VMs accept callers. */
     private final List<InetSocketAddress> entryVms;
 
-    /** Draws. */
+    /** The source of identifiers, entry VMs and repeated submissions. */
     private final RandomGenerator random;
 
-    /** Tells the workers how the tasks behave. */
+    /** Determines the behaviour of the submitted tasks on the simulated workers. */
     private final SubmittedWork work;
 
-    /** Every submission, in the order of creation. */
+    /** All submissions, in the order in which they were first sent. */
     private final List<WorkItem> items = new ArrayList<>();
 
-    /** What callers saw and must never see. */
+    /** The replies that violate a guarantee to callers, one line each. */
     private final List<String> violations = new ArrayList<>();
 
     /**
      * Creates callers that have not sent anything.
      *
-     * @param runtime the clock and the timers
-     * @param client makes the calls
-     * @param entryVms the callers' addresses of the entry VMs
-     * @param random draws
-     * @param work tells the workers how the tasks behave
+     * @param runtime schedules retries and polls
+     * @param client sends the requests to the entry VMs
+     * @param entryVms the addresses at which the entry VMs accept callers
+     * @param random the source of identifiers, entry VMs and repeated submissions
+     * @param work determines the behaviour of the submitted tasks on the simulated workers
      */
     public CallerLoad(
             ProcessRuntime runtime,
@@ -73,7 +74,7 @@
     }
 
     /**
-     * Returns an identifier that no submission has.
+     * Draws a random 64-bit identifier for a new submission.
      *
      * @return 16 hexadecimal digits
      */
@@ -82,11 +83,11 @@
     }
 
     /**
-     * Hands a submission in and follows it.
+     * Sends a submission, retries it until it is acknowledged, and polls its state.
      *
-     * @param route the route
+     * @param route the route to which it is sent
      * @param submission the submission
-     * @return what its caller knows of it
+     * @return the caller's view of the submission, which is updated by each reply
      */
     public WorkItem send(Route route, Submission submission) {
         WorkItem item = new WorkItem(submission, route);
@@ -97,7 +98,8 @@
     }
 
     /**
-     * Cancels a submission; it is asked for until an answer comes.
+     * Cancels a submission. The request is retried without limit while it is refused or gets no
+     * answer.
      *
      * @param item the submission
      */
@@ -115,28 +117,28 @@
     }
 
     /**
-     * Returns every submission.
+     * Returns all submissions, in the order in which they were first sent.
      *
-     * @return the submissions
+     * @return the live list
      */
     public List<WorkItem> items() {
         return items;
     }
 
     /**
-     * Returns what callers saw and must never see.
+     * Returns the replies that violate a guarantee to callers.
      *
-     * @return a line for each
+     * @return the live list, one line per violation
      */
     public List<String> violations() {
         return violations;
     }
 
     /**
-     * Tries to hand a submission in.
+     * Sends a submission to a random entry VM.
      *
      * @param item the submission
-     * @param tries the number of this try
+     * @param tries the number of this attempt, 1 for the first
      */
     private void submit(WorkItem item, int tries) {
         client.submit(
@@ -147,7 +149,10 @@
                     switch (outcome) {
                         case DONE -> accepted(item);
                         case UNKNOWN_SUBMISSION ->
-                                violations.add(item.submission().id() + ": 410 to a submission");
+                                violations.add(
+                                        item.submission().id()
+                                                + ": submit request answered with 410 (unknown"
+                                                + " submission)");
                         default -> {
                             if (outcome == CallOutcome.NO_ANSWER) {
                                 item.missAnswer();
@@ -159,10 +164,11 @@
     }
 
     /**
-     * Notes that a try was not acknowledged, and tries again if tries are left.
+     * Handles an attempt that was not acknowledged: schedules the next one, or gives up after the
+     * last. Does nothing if an earlier attempt was acknowledged.
      *
      * @param item the submission
-     * @param tries the number of the try
+     * @param tries the number of the attempt, 1 for the first
      */
     private void again(WorkItem item, int tries) {
         if (item.accepted()) {
@@ -176,7 +182,8 @@
     }
 
     /**
-     * Notes that a submission was acknowledged.
+     * Handles the acknowledgement of a submission: starts to poll its state, and with a small
+     * probability sends it once more to check that submitting is idempotent.
      *
      * @param item the submission
      */
@@ -191,7 +198,7 @@
     }
 
     /**
-     * Asks for the state of a submission until it is final.
+     * Polls the state of a submission until it is final.
      *
      * @param item the submission
      */
@@ -203,7 +210,9 @@
                 answer -> {
                     SubmissionState state = answer.state();
                     if (answer.outcome() == CallOutcome.UNKNOWN_SUBMISSION) {
-                        violations.add(item.submission().id() + ": unknown after acceptance");
+                        violations.add(
+                                item.submission().id()
+                                        + ": reported as unknown after it was accepted");
                     } else if (state != null) {
                         item.tell(state);
                     }
@@ -214,9 +223,9 @@
     }
 
     /**
-     * Draws an entry VM.
+     * Draws a random entry VM.
      *
-     * @return its callers' address
+     * @return the address at which it accepts callers
      */
     private InetSocketAddress entryVm() {
         return entryVms.get(random.nextInt(entryVms.size()));
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
@@ -6,24 +6,27 @@
 import org.damasktiller.scheduler.model.TaskId;
 import org.damasktiller.standin.fleet.RunAudit;
 
-/** Compares what callers were told with what the workers ran. */
+/**
+ * Checks the guarantees of the scheduler: compares the replies to callers with the runs on the
+ * simulated workers.
+ */
 public final class PromiseCheck {
 
-    /** The callers. */
+    /** The callers and their submissions. */
     private final CallerLoad load;
 
-    /** What the workers ran. */
+    /** The runs on the simulated workers. */
     private final RunAudit audit;
 
-    /** What callers have submitted. */
+    /** The tasks that callers have submitted. */
     private final SubmittedWork work;
 
     /**
      * Creates a check.
      *
-     * @param load the callers
-     * @param audit what the workers ran
-     * @param work what callers have submitted
+     * @param load the callers and their submissions
+     * @param audit the runs on the simulated workers
+     * @param work the tasks that callers have submitted
      */
     public PromiseCheck(CallerLoad load, RunAudit audit, SubmittedWork work) {
         this.load = load;
@@ -32,63 +35,64 @@
     }
 
     /**
-     * Returns what must hold at every moment and does not.
+     * Returns the violations of the guarantees that hold at any time, also during faults.
      *
-     * @return a line for each violation
+     * @return one line per violation
      */
     public List<String> violations() {
         List<String> found = new ArrayList<>(audit.violations());
         found.addAll(load.violations());
-        work.strangers().forEach(task -> found.add(task + ": started and never submitted"));
+        work.strangers().forEach(task -> found.add(task + ": started but never submitted"));
         for (WorkItem item : load.items()) {
             String id = item.submission().id();
             if (item.refused() && starts(item) > 0) {
-                found.add(id + ": started though each try was refused");
+                found.add(id + ": started although each try was refused");
             }
             if (item.state() == SubmissionState.SUCCEEDED && !allDone(item)) {
-                found.add(id + ": shown as succeeded before its tasks were done");
+                found.add(id + ": reported as succeeded before its tasks were done");
             }
             int attempts = item.route().maximumAttempts();
             if (item.state() == SubmissionState.FAILED
                     && audit.mostFailures(tasks(item)) < attempts) {
-                found.add(id + ": shown as failed before its attempts were used up");
+                found.add(id + ": reported as failed before its attempts were used up");
             }
             if (item.state() == SubmissionState.CANCELLED && !item.cancelAsked()) {
-                found.add(id + ": shown as cancelled without being asked");
+                found.add(id + ": reported as cancelled without being asked to");
             }
         }
         return found;
     }
 
     /**
-     * Returns what must hold once faults are over and work has had time to finish, and does not.
+     * Returns the submissions that have not reached their expected end. Once faults are over and
+     * work has had time to finish, each of them is a violation.
      *
-     * @return a line for each violation
+     * @return one line per submission
      */
     public List<String> unfinished() {
         List<String> found = new ArrayList<>();
         for (WorkItem item : load.items()) {
             String id = item.submission().id();
             if (item.accepted() && item.cancelAsked() && active(item) > 0) {
-                found.add(id + ": runs on after its cancelling");
+                found.add(id + ": still runs after its cancelling");
             } else if (item.accepted()
                     && !item.cancelAsked()
                     && item.submission().hasLongRunningStep()) {
                 if (active(item) < tasks(item).size()) {
-                    found.add(id + ": lasting tasks are not at work");
+                    found.add(id + ": long-running tasks are not at work");
                 }
             } else if (item.accepted() && !item.settled()) {
-                found.add(id + ": accepted and not finished, last state " + item.state());
+                found.add(id + ": accepted but not finished, last reported state " + item.state());
             }
         }
         return found;
     }
 
     /**
-     * Returns the tasks of a submission.
+     * Returns the tasks of the first occurrence of a submission.
      *
      * @param item the submission
-     * @return the tasks
+     * @return the tasks, by step and index
      */
     private static List<TaskId> tasks(WorkItem item) {
         List<TaskId> tasks = new ArrayList<>();
@@ -101,30 +105,30 @@
     }
 
     /**
-     * Counts the starts of a submission's tasks.
+     * Counts the starts of the tasks of a submission.
      *
      * @param item the submission
-     * @return the number
+     * @return the number of starts
      */
     private int starts(WorkItem item) {
         return tasks(item).stream().mapToInt(audit::starts).sum();
     }
 
     /**
-     * Counts the active runs of a submission's tasks.
+     * Counts the active runs of the tasks of a submission.
      *
      * @param item the submission
-     * @return the number
+     * @return the number of active runs
      */
     private int active(WorkItem item) {
         return tasks(item).stream().mapToInt(audit::active).sum();
     }
 
     /**
-     * Tells whether every task of a submission has ended as done.
+     * Returns whether every task of a submission has a successful run.
      *
      * @param item the submission
-     * @return whether each has
+     * @return whether all tasks are done
      */
     private boolean allDone(WorkItem item) {
         return audit.done().containsAll(tasks(item));
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedWork.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedWork.java
@@ -13,26 +13,30 @@
 import org.damasktiller.standin.fleet.TaskBehaviour;
 import org.jspecify.annotations.Nullable;
 
-/** Tells the emulated workers how the tasks of submissions behave, which only the caller knows. */
+/**
+ * Determines the behaviour of submitted tasks on the simulated workers. The resources and the
+ * duration of a run come from the submission as its caller sent it, so that a task which the
+ * scheduler starts without a submission is detected.
+ */
 public final class SubmittedWork implements TaskBehaviour {
 
-    /** The submissions that callers have sent, by identifier. */
+    /** The submissions of the callers, by identifier. */
     private final Map<String, Submission> submissions = new HashMap<>();
 
-    /** The tasks that were started and that nobody has submitted. */
+    /** The tasks that workers were asked to run but no caller submitted. */
     private final Set<TaskId> strangers = new LinkedHashSet<>();
 
-    /** Draws how runs end. */
+    /** The source of the outcomes of runs. */
     private final RandomGenerator random;
 
-    /** The chance that a run fails, 0 to 1. */
+    /** The probability that a run fails, 0 to 1. */
     private final double failureChance;
 
     /**
-     * Creates a part without submissions.
+     * Creates the behaviour without submissions.
      *
-     * @param random draws how runs end
-     * @param failureChance the chance that a run fails, 0 to 1
+     * @param random the source of the outcomes of runs
+     * @param failureChance the probability that a run fails, 0 to 1
      */
     public SubmittedWork(RandomGenerator random, double failureChance) {
         this.random = random;
@@ -40,7 +44,7 @@
     }
 
     /**
-     * Adds a submission before it is sent.
+     * Adds a submission. Must be called before the submission is sent.
      *
      * @param submission the submission
      */
@@ -49,9 +53,9 @@
     }
 
     /**
-     * Returns the tasks that were started and that nobody has submitted.
+     * Returns the tasks that workers were asked to run but no caller submitted.
      *
-     * @return their names
+     * @return the live set of tasks
      */
     public Set<TaskId> strangers() {
         return strangers;
@@ -75,10 +79,10 @@
     }
 
     /**
-     * Returns the step of a task; one that nobody has submitted is noted.
+     * Returns the step of a task, or records the task as never submitted.
      *
      * @param task the task
-     * @return the step, or null if there is none
+     * @return the step, or null if no caller submitted the task
      */
     private @Nullable StepSpec spec(TaskId task) {
         Submission submission = submissions.get(task.submission());
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/WorkItem.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/WorkItem.java
@@ -5,38 +5,38 @@
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.jspecify.annotations.Nullable;
 
-/** What a caller knows of one submission. */
+/** The caller's view of one submission, derived from the replies of the entry VMs. */
 public final class WorkItem {
 
     /** The submission. */
     private final Submission submission;
 
-    /** The route that it was handed in on. */
+    /** The route to which it is sent. */
     private final Route route;
 
-    /** Whether an entry VM has acknowledged it. */
+    /** Whether an entry VM has acknowledged the submission. */
     private boolean accepted;
 
-    /** Whether every try was refused and the caller has given up. */
+    /** Whether the caller has given up and every attempt was refused. */
     private boolean refused;
 
-    /** Whether the caller has given up without knowing whether it was accepted. */
+    /** Whether the caller has given up and an attempt without an answer may have been accepted. */
     private boolean unknown;
 
-    /** Whether the caller has asked to cancel it. */
+    /** Whether the caller has requested the cancellation. */
     private boolean cancelAsked;
 
-    /** Whether a try got no answer, so that it may have been accepted. */
+    /** Whether an attempt got no answer, so that the submission may have been accepted. */
     private boolean unanswered;
 
-    /** The last state that was told, null before the first. */
+    /** The last reported state, null before the first report. */
     private @Nullable SubmissionState state;
 
     /**
-     * Creates an item that has not been handed in yet.
+     * Creates the view of a submission that has not been sent.
      *
      * @param submission the submission
-     * @param route the route
+     * @param route the route to which it is sent
      */
     WorkItem(Submission submission, Route route) {
         this.submission = submission;
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns the route.
+     * Returns the route to which the submission is sent.
      *
      * @return the route
      */
@@ -62,75 +62,76 @@
     }
 
     /**
-     * Tells whether it was acknowledged.
+     * Returns whether an entry VM has acknowledged the submission.
      *
-     * @return whether it was
+     * @return whether it was acknowledged
      */
     public boolean accepted() {
         return accepted;
     }
 
     /**
-     * Tells whether every try was refused.
+     * Returns whether the caller has given up and every attempt was refused, so that the submission
+     * must never run.
      *
-     * @return whether each was
+     * @return whether it was refused
      */
     public boolean refused() {
         return refused;
     }
 
     /**
-     * Tells whether the caller asked to cancel it.
+     * Returns whether the caller has requested the cancellation.
      *
-     * @return whether it did
+     * @return whether it was requested
      */
     public boolean cancelAsked() {
         return cancelAsked;
     }
 
     /**
-     * Returns the last state that was told.
+     * Returns the last reported state.
      *
-     * @return the state, or null before the first
+     * @return the state, or null before the first report
      */
     public @Nullable SubmissionState state() {
         return state;
     }
 
     /**
-     * Tells whether nothing more is expected: it was refused, given up, or has reached a final
-     * state.
+     * Returns whether the caller expects no further reply: it has given up, or the last reported
+     * state is final.
      *
-     * @return whether nothing is
+     * @return whether no further reply is expected
      */
     public boolean settled() {
         SubmissionState told = state;
         return refused || unknown || (told != null && told.isFinal());
     }
 
-    /** Notes the acknowledgement. */
+    /** Records the acknowledgement. */
     void accept() {
         accepted = true;
     }
 
-    /** Notes that a try got no answer. */
+    /** Records that an attempt got no answer. */
     void missAnswer() {
         unanswered = true;
     }
 
-    /** Notes that the caller hands it in no more. */
+    /** Records that the caller has given up after the last attempt. */
     void giveUp() {
         refused = !unanswered;
         unknown = unanswered;
     }
 
-    /** Notes that the caller asks to cancel it. */
+    /** Records that the caller has requested the cancellation. */
     void askCancel() {
         cancelAsked = true;
     }
 
     /**
-     * Notes a state.
+     * Records a reported state.
      *
      * @param told the state
      */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/package-info.java
@@ -1,4 +1,4 @@
-/** Callers that hand work in, follow it, and check what they were promised. */
+/** Simulated callers that send submissions, and checks of the guarantees given to them. */
 @NullMarked
 package org.damasktiller.lab.load;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
@@ -10,20 +10,23 @@
 import org.damasktiller.error.Step;
 import org.jspecify.annotations.Nullable;
 
-/** Reads settings from flags and environment variables; a flag goes before a variable. */
+/**
+ * Reads settings from flags and environment variables, and checks their values. A flag takes
+ * precedence over the environment variable of the same setting.
+ */
 public final class Settings {
 
-    /** The start of the name of every environment variable. */
+    /** The prefix of the names of all environment variables of settings. */
     public static final String VARIABLE_PREFIX = "DAMASKTILLER_";
 
     /** Prevents instantiation. */
     private Settings() {}
 
     /**
-     * Returns the environment variable of a flag.
+     * Returns the name of the environment variable that corresponds to a flag.
      *
      * @param flag the flag, such as {@code --store-timeout-millis}
-     * @return the variable, such as {@code DAMASKTILLER_STORE_TIMEOUT_MILLIS}
+     * @return the name, such as {@code DAMASKTILLER_STORE_TIMEOUT_MILLIS}
      */
     public static String variableOf(String flag) {
         return VARIABLE_PREFIX
@@ -31,13 +34,13 @@
     }
 
     /**
-     * Fills an object with annotated fields.
+     * Reads settings into the annotated fields of an object.
      *
-     * @param settings the object with JCommander's annotations
-     * @param arguments the flags
-     * @param environment the environment variables
-     * @throws DamasktillerException with code BAD_SETTING, naming the setting, the value and what
-     *     is allowed
+     * @param settings the object, whose fields have JCommander annotations
+     * @param arguments the flags and their values
+     * @param environment the environment variables, by name
+     * @throws DamasktillerException with code BAD_SETTING and the message of the parser if a flag
+     *     is unknown, missing or malformed
      */
     public static void read(Object settings, String[] arguments, Map<String, String> environment) {
         JCommander parser =
@@ -59,13 +62,13 @@
     }
 
     /**
-     * Makes the error of a value that is not allowed.
+     * Creates the error for a value that is not allowed.
      *
      * @param setting the name of the setting
-     * @param value the value
-     * @param allowed what is allowed
-     * @param cause the error beneath, or null
-     * @return the error
+     * @param value the value, empty if none was given
+     * @param allowed a description of the allowed values
+     * @param cause the underlying error, or null if there is none
+     * @return the error, with code BAD_SETTING
      */
     public static DamasktillerException refused(
             String setting, String value, String allowed, @Nullable Throwable cause) {
@@ -79,13 +82,14 @@
     }
 
     /**
-     * Checks that a setting was given.
+     * Checks that a required setting was given.
      *
      * @param setting the name of the setting
-     * @param value the value, or null
-     * @param allowed what is allowed
+     * @param value the value, or null if the setting was not given
+     * @param allowed a description of the allowed values
      * @param <T> the type of the value
      * @return the value
+     * @throws DamasktillerException with code BAD_SETTING if the setting was not given
      */
     public static <T> T required(String setting, @Nullable T value, String allowed) {
         if (value == null) {
@@ -95,12 +99,13 @@
     }
 
     /**
-     * Checks that a number lies in its range.
+     * Checks that a number is within its range.
      *
      * @param setting the name of the setting
      * @param value the value
-     * @param least the least value allowed
-     * @param most the greatest value allowed
+     * @param least the minimum, inclusive
+     * @param most the maximum, inclusive
+     * @throws DamasktillerException with code BAD_SETTING if the value is outside the range
      */
     public static void inRange(String setting, long value, long least, long most) {
         if (value < least || value > most) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings from flags and environment variables. */
+/** Reads settings from flags and environment variables. */
 @NullMarked
 package org.damasktiller.lab.settings;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
@@ -22,16 +22,19 @@
 import org.damasktiller.store.SwapResult;
 import org.jspecify.annotations.Nullable;
 
-/** Keeps the records of the table in the platform's store. */
+/**
+ * Adapts the scheduler's client of the platform's store to the interface that the table's
+ * repository uses. Belongs to the thread of the event loop.
+ */
 public final class MetadataKeyValueStore implements KeyValueStore {
 
-    /** The platform's store. */
+    /** The client of the platform's store. */
     private final MetadataStore store;
 
     /**
      * Creates an adapter.
      *
-     * @param store the platform's store
+     * @param store the client of the platform's store
      */
     public MetadataKeyValueStore(MetadataStore store) {
         this.store = store;
@@ -77,12 +80,12 @@
     }
 
     /**
-     * Reads the pages of a prefix one after the other.
+     * Reads the next page of a prefix, and all later pages.
      *
-     * @param prefix the prefix
-     * @param after the key after which the page begins
-     * @param values the values so far
-     * @param found takes all values
+     * @param prefix the prefix of the keys
+     * @param after the last key of the previous page, empty for the first page
+     * @param values the values of the previous pages, to which those of this page are added
+     * @param found completed with the values of all pages, or with the first error
      */
     private void readPage(
             String prefix,
@@ -111,10 +114,11 @@
     }
 
     /**
-     * Completes a write.
+     * Completes the promise of a write. The outcome of a write is unknown unless the store has
+     * executed it, refused it or found another revision.
      *
-     * @param swapped takes what became of it
-     * @param result what the store said
+     * @param swapped the promise of the write
+     * @param result the reply of the store
      */
     private static void complete(
             SettablePromise<SwapResult> swapped, StoreResult<CommitReply> result) {
@@ -132,22 +136,22 @@
     }
 
     /**
-     * Turns an item into a value.
+     * Converts an item of the store.
      *
-     * @param item the item, or null
-     * @return the value, or null if there is no item
+     * @param item the item, or null if the key is absent
+     * @return the stored value, or null if the key is absent
      */
     private static @Nullable StoredValue value(@Nullable StoreItem item) {
         return item == null ? null : new StoredValue(item.key(), item.value(), item.revision());
     }
 
     /**
-     * Makes the error of a call that was not carried out, as far as is known.
+     * Creates the error for a call that the store did not confirm.
      *
-     * @param step the step
-     * @param result what the store said
+     * @param step the step that failed
+     * @param result the reply of the store
      * @param outcome whether the call took effect
-     * @return the error
+     * @return the error, with code STORE_UNAVAILABLE
      */
     private static DamasktillerException unavailable(
             Step step, StoreResult<?> result, Outcome outcome) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifest.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifest.java
@@ -11,34 +11,35 @@
 import org.damasktiller.table.WorkClass;
 
 /**
- * Makes the platform's manifest of the operators' table: a row is a route. Weights, shares, limits
- * of running work and places have no counterpart there and are not in force on the platform.
+ * Converts the operators' table to a manifest of the platform, in which each row becomes a route. A
+ * manifest has no weights, shares, limits of running work or places, so the platform does not
+ * enforce these columns of the table.
  */
 public final class TableManifest {
 
-    /** How often work may fail that can be run again. */
+    /** The maximum number of attempts of a task that may be run again. */
     public static final int ATTEMPTS = 3;
 
-    /** The largest body of a submission, in bytes. */
+    /** The maximum size of the body of a submission, in bytes. */
     private static final int BODY_BYTES = 1 << 20;
 
-    /** How long a caller's connection may be idle, in milliseconds. */
+    /** The idle timeout of callers' connections, in milliseconds. */
     private static final long IDLE_MILLIS = 30_000;
 
-    /** The factor on the chain of work in the objective. */
+    /** The factor by which the latency objective stretches the critical path. */
     private static final double EXTENSION = 2;
 
-    /** What the objective adds where the row has no target, in milliseconds. */
+    /** The time that the latency objective adds if the row has no target, in milliseconds. */
     private static final long DEFAULT_TARGET_MILLIS = 1_000;
 
     /** Prevents instantiation. */
     private TableManifest() {}
 
     /**
-     * Makes a manifest.
+     * Creates the manifest of a table.
      *
      * @param table the table
-     * @param service the service whose workers run everything
+     * @param service the name of the service whose workers run the work of every route
      * @param version the version of the manifest
      * @return the manifest
      */
@@ -49,10 +50,10 @@
     }
 
     /**
-     * Makes the route of a row.
+     * Creates the route of a row.
      *
      * @param row the row
-     * @param service the service
+     * @param service the name of the service
      * @return the route
      */
     private static Route route(KindOfWork row, String service) {
@@ -74,7 +75,7 @@
      * Returns the priority of a class of work.
      *
      * @param workClass the class
-     * @return the priority, 0 the most urgent
+     * @return the priority; 0 is the most urgent
      */
     private static int priority(WorkClass workClass) {
         return switch (workClass) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -12,20 +12,23 @@
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.table.TableRepository;
 
-/** A connection of an operator to the table in the platform's store. */
+/**
+ * Gives the commands of an operator blocking access to the table in the platform's store. Owns an
+ * event loop with its thread, which ends when the session is closed.
+ */
 public final class TableSession implements AutoCloseable {
 
-    /** How long an answer of the store may take, in milliseconds. */
+    /** The timeout of a request to the store, in milliseconds. */
     private static final long STORE_MILLIS = 5_000;
 
-    /** The loop. */
+    /** The event loop that performs all requests. */
     private final LabLoop loop = new LabLoop("table", System.err::println);
 
-    /** The table. */
+    /** Reads and edits the table; used on the thread of the loop only. */
     private final TableRepository repository;
 
     /**
-     * Opens a session.
+     * Opens a session. The store is not contacted before the first call.
      *
      * @param store the address of the store
      * @param zones the availability zones that the table may name
@@ -38,11 +41,11 @@
     }
 
     /**
-     * Does something with the table and waits for the result.
+     * Performs an action on the table and blocks until it has completed.
      *
-     * @param action what to do
+     * @param action starts the action; called on the thread of the event loop
      * @param <T> the type of the result
-     * @return the result
+     * @return the result of the action
      * @throws DamasktillerException if the action failed
      */
     public <T> T call(Function<TableRepository, Promise<T>> action) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' table on the platform: the manifest that its rows make. */
+/** Access to the operators' table in the platform's store, and its conversion to a manifest. */
 @NullMarked
 package org.damasktiller.lab.table;
 
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/command/CommandLineTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/command/CommandLineTest.java
@@ -16,6 +16,7 @@
 import org.damasktiller.error.Step;
 import org.junit.jupiter.api.Test;
 
+/** Tests the selection of commands, the help and the exit codes of failures. */
 class CommandLineTest {
 
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
@@ -23,6 +23,7 @@
 import org.damasktiller.table.TableWriter;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the flags, error codes and columns on the operators' page match the code. */
 class OperatorsPageTest {
 
     private final String page = read();
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/explain/TimelineTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/explain/TimelineTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests the life of a submission as told by the logs of two VMs. */
+/** Tests the timeline of a submission that is read from the logs of two VMs. */
 class TimelineTest {
 
     private static final String ID = "fc03fb14264fec1d";
 
     private static final String FIRST =
             """
-            a line of the Java machine
+            output of the JVM
             {"time":1000,"node":"vm-1","event":"submission.answered","id":"fc03fb14264fec1d","status":200}
             {"time":5000,"node":"vm-1","event":"store.lost","answeredAgo":1800}
             {"time":9000,"node":"vm-1","event":"submission.answered","id":"0000000000000001","status":200}
@@ -62,7 +62,7 @@
         assertThat(timeline.lines(), hasItem(containsString("no line")));
     }
 
-    /** What comes from outside may be anything; it is left out, and the rest is read. */
+    /** Arbitrary text before the log lines must be skipped, and the log lines must be read. */
     @Property(tries = 200)
     void readsLogsWithAnythingInThem(@ForAll String text) throws IOException {
         Path file = Files.createTempFile("timeline", ".log");
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/load/PromiseCheckTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/load/PromiseCheckTest.java
@@ -24,7 +24,7 @@
 import org.damasktiller.standin.time.PausedRuntime;
 import org.junit.jupiter.api.Test;
 
-/** Tests that each broken promise is found. */
+/** Tests that each violated guarantee to callers is reported. */
 class PromiseCheckTest {
 
     private static final String ID = "5c0e7a21d94b36f8";
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
@@ -12,7 +12,7 @@
 import org.damasktiller.table.TableReader;
 import org.junit.jupiter.api.Test;
 
-/** Tests how the rows of a table become the routes of a manifest. */
+/** Tests the conversion of the rows of a table to the routes of a manifest. */
 class TableManifestTest {
 
     private static final String CSV =
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests the table that operators share in the platform's store, over its protocol. */
+/** Tests concurrent edits of the table against an emulated store, over the store's protocol. */
 class TableSessionTest {
 
     private static final String FIRST =
