--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerSimulator.java
@@ -16,19 +16,19 @@
  * at random ones until it is acknowledged or the attempts are used up. Once it is acknowledged, its
  * state is polled until it is final.
  */
-public final class CallerLoad {
+public final class CallerSimulator {
 
     /** The maximum number of attempts to send a submission. */
-    private static final int MOST_TRIES = 40;
+    private static final int MAXIMUM_ATTEMPTS = 40;
 
     /** The time between two attempts and between two polls of a state, in milliseconds. */
-    private static final long RETRY_MILLIS = 400;
+    private static final long RETRY_INTERVAL_MILLIS = 400;
 
     /** The probability that a submission is sent again after it was acknowledged, 0 to 1. */
-    private static final double REPEAT_CHANCE = 0.05;
+    private static final double RESEND_PROBABILITY = 0.05;
 
     /** The time from the acknowledgement until a submission is sent again, in milliseconds. */
-    private static final long REPEAT_MILLIS = 2_500;
+    private static final long RESEND_DELAY_MILLIS = 2_500;
 
     /** Schedules retries and polls. */
     private final ProcessRuntime runtime;
@@ -43,10 +43,10 @@
     private final RandomGenerator random;
 
     /** Determines the behaviour of the submitted tasks on the simulated workers. */
-    private final SubmittedWork work;
+    private final SubmittedTaskBehaviour taskBehaviour;
 
     /** All submissions, in the order in which they were first sent. */
-    private final List<WorkItem> items = new ArrayList<>();
+    private final List<TrackedSubmission> submissions = new ArrayList<>();
 
     /** The replies that violate a guarantee to callers, one line each. */
     private final List<String> violations = new ArrayList<>();
@@ -58,19 +58,19 @@
      * @param client sends the requests to the entry VMs
      * @param entryVms the addresses at which the entry VMs accept callers
      * @param random the source of identifiers, entry VMs and repeated submissions
-     * @param work determines the behaviour of the submitted tasks on the simulated workers
+     * @param taskBehaviour determines the behaviour of the submitted tasks on the simulated workers
      */
-    public CallerLoad(
+    public CallerSimulator(
             ProcessRuntime runtime,
             CallerClient client,
             List<InetSocketAddress> entryVms,
             RandomGenerator random,
-            SubmittedWork work) {
+            SubmittedTaskBehaviour taskBehaviour) {
         this.runtime = runtime;
         this.client = client;
         this.entryVms = List.copyOf(entryVms);
         this.random = random;
-        this.work = work;
+        this.taskBehaviour = taskBehaviour;
     }
 
     /**
@@ -89,29 +89,29 @@
      * @param submission the submission
      * @return the caller's view of the submission, which is updated by each reply
      */
-    public WorkItem send(Route route, Submission submission) {
-        WorkItem item = new WorkItem(submission, route);
-        items.add(item);
-        work.add(submission);
-        submit(item, 1);
-        return item;
+    public TrackedSubmission send(Route route, Submission submission) {
+        TrackedSubmission tracked = new TrackedSubmission(submission, route);
+        submissions.add(tracked);
+        taskBehaviour.add(submission);
+        submit(tracked, 1);
+        return tracked;
     }
 
     /**
      * Cancels a submission. The request is retried without limit while it is refused or gets no
      * answer.
      *
-     * @param item the submission
+     * @param tracked the submission
      */
-    public void cancel(WorkItem item) {
-        item.askCancel();
+    public void cancel(TrackedSubmission tracked) {
+        tracked.markCancelRequested();
         client.cancel(
-                entryVm(),
-                item.route(),
-                item.submission().id(),
+                randomEntryVm(),
+                tracked.route(),
+                tracked.submission().id(),
                 outcome -> {
                     if (outcome == CallOutcome.NO_ANSWER || outcome == CallOutcome.REFUSED) {
-                        runtime.schedule(RETRY_MILLIS, () -> cancel(item));
+                        runtime.schedule(RETRY_INTERVAL_MILLIS, () -> cancel(tracked));
                     }
                 });
     }
@@ -121,8 +121,8 @@
      *
      * @return the live list
      */
-    public List<WorkItem> items() {
-        return items;
+    public List<TrackedSubmission> submissions() {
+        return submissions;
     }
 
     /**
@@ -137,27 +137,27 @@
     /**
      * Sends a submission to a random entry VM.
      *
-     * @param item the submission
-     * @param tries the number of this attempt, 1 for the first
+     * @param tracked the submission
+     * @param attempt the number of this attempt, 1 for the first
      */
-    private void submit(WorkItem item, int tries) {
+    private void submit(TrackedSubmission tracked, int attempt) {
         client.submit(
-                entryVm(),
-                item.route(),
-                item.submission(),
+                randomEntryVm(),
+                tracked.route(),
+                tracked.submission(),
                 outcome -> {
                     switch (outcome) {
-                        case DONE -> accepted(item);
+                        case DONE -> handleAccepted(tracked);
                         case UNKNOWN_SUBMISSION ->
                                 violations.add(
-                                        item.submission().id()
+                                        tracked.submission().id()
                                                 + ": submit request answered with 410 (unknown"
                                                 + " submission)");
                         default -> {
                             if (outcome == CallOutcome.NO_ANSWER) {
-                                item.missAnswer();
+                                tracked.markUnanswered();
                             }
-                            again(item, tries);
+                            retryOrGiveUp(tracked, attempt);
                         }
                     }
                 });
@@ -167,32 +167,32 @@
      * Handles an attempt that was not acknowledged: schedules the next one, or gives up after the
      * last. Does nothing if an earlier attempt was acknowledged.
      *
-     * @param item the submission
-     * @param tries the number of the attempt, 1 for the first
+     * @param tracked the submission
+     * @param attempt the number of the attempt, 1 for the first
      */
-    private void again(WorkItem item, int tries) {
-        if (item.accepted()) {
+    private void retryOrGiveUp(TrackedSubmission tracked, int attempt) {
+        if (tracked.isAccepted()) {
             return;
         }
-        if (tries >= MOST_TRIES) {
-            item.giveUp();
+        if (attempt >= MAXIMUM_ATTEMPTS) {
+            tracked.markGivenUp();
             return;
         }
-        runtime.schedule(RETRY_MILLIS, () -> submit(item, tries + 1));
+        runtime.schedule(RETRY_INTERVAL_MILLIS, () -> submit(tracked, attempt + 1));
     }
 
     /**
      * Handles the acknowledgement of a submission: starts to poll its state, and with a small
      * probability sends it once more to check that submitting is idempotent.
      *
-     * @param item the submission
+     * @param tracked the submission
      */
-    private void accepted(WorkItem item) {
-        if (!item.accepted()) {
-            item.accept();
-            runtime.schedule(RETRY_MILLIS, () -> ask(item));
-            if (random.nextDouble() < REPEAT_CHANCE) {
-                runtime.schedule(REPEAT_MILLIS, () -> submit(item, MOST_TRIES));
+    private void handleAccepted(TrackedSubmission tracked) {
+        if (!tracked.isAccepted()) {
+            tracked.markAccepted();
+            runtime.schedule(RETRY_INTERVAL_MILLIS, () -> pollState(tracked));
+            if (random.nextDouble() < RESEND_PROBABILITY) {
+                runtime.schedule(RESEND_DELAY_MILLIS, () -> submit(tracked, MAXIMUM_ATTEMPTS));
             }
         }
     }
@@ -200,24 +200,24 @@
     /**
      * Polls the state of a submission until it is final.
      *
-     * @param item the submission
+     * @param tracked the submission
      */
-    private void ask(WorkItem item) {
+    private void pollState(TrackedSubmission tracked) {
         client.state(
-                entryVm(),
-                item.route(),
-                item.submission().id(),
+                randomEntryVm(),
+                tracked.route(),
+                tracked.submission().id(),
                 answer -> {
                     SubmissionState state = answer.state();
                     if (answer.outcome() == CallOutcome.UNKNOWN_SUBMISSION) {
                         violations.add(
-                                item.submission().id()
+                                tracked.submission().id()
                                         + ": reported as unknown after it was accepted");
                     } else if (state != null) {
-                        item.tell(state);
+                        tracked.updateState(state);
                     }
-                    if (!item.settled()) {
-                        runtime.schedule(RETRY_MILLIS, () -> ask(item));
+                    if (!tracked.isSettled()) {
+                        runtime.schedule(RETRY_INTERVAL_MILLIS, () -> pollState(tracked));
                     }
                 });
     }
@@ -227,7 +227,7 @@
      *
      * @return the address at which it accepts callers
      */
-    private InetSocketAddress entryVm() {
+    private InetSocketAddress randomEntryVm() {
         return entryVms.get(random.nextInt(entryVms.size()));
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedWork.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedTaskBehaviour.java
@@ -18,29 +18,29 @@
  * duration of a run come from the submission as its caller sent it, so that a task which the
  * scheduler starts without a submission is detected.
  */
-public final class SubmittedWork implements TaskBehaviour {
+public final class SubmittedTaskBehaviour implements TaskBehaviour {
 
     /** The submissions of the callers, by identifier. */
     private final Map<String, Submission> submissions = new HashMap<>();
 
     /** The tasks that workers were asked to run but no caller submitted. */
-    private final Set<TaskId> strangers = new LinkedHashSet<>();
+    private final Set<TaskId> unsubmittedTasks = new LinkedHashSet<>();
 
     /** The source of the outcomes of runs. */
     private final RandomGenerator random;
 
     /** The probability that a run fails, 0 to 1. */
-    private final double failureChance;
+    private final double failureProbability;
 
     /**
      * Creates the behaviour without submissions.
      *
      * @param random the source of the outcomes of runs
-     * @param failureChance the probability that a run fails, 0 to 1
+     * @param failureProbability the probability that a run fails, 0 to 1
      */
-    public SubmittedWork(RandomGenerator random, double failureChance) {
+    public SubmittedTaskBehaviour(RandomGenerator random, double failureProbability) {
         this.random = random;
-        this.failureChance = failureChance;
+        this.failureProbability = failureProbability;
     }
 
     /**
@@ -57,25 +57,25 @@
      *
      * @return the live set of tasks
      */
-    public Set<TaskId> strangers() {
-        return strangers;
+    public Set<TaskId> unsubmittedTasks() {
+        return unsubmittedTasks;
     }
 
     @Override
     public Resources reserved(TaskId task) {
-        StepSpec spec = spec(task);
+        StepSpec spec = findSpec(task);
         return spec == null ? Resources.NONE : spec.reserved();
     }
 
     @Override
     public long workMillis(String worker, TaskId task) {
-        StepSpec spec = spec(task);
+        StepSpec spec = findSpec(task);
         return spec == null || spec.lasting() ? LASTS : spec.estimateMillis();
     }
 
     @Override
     public EndKind end(String worker, TaskId task) {
-        return random.nextDouble() < failureChance ? EndKind.FAILED : EndKind.DONE;
+        return random.nextDouble() < failureProbability ? EndKind.FAILED : EndKind.DONE;
     }
 
     /**
@@ -84,10 +84,10 @@
      * @param task the task
      * @return the step, or null if no caller submitted the task
      */
-    private @Nullable StepSpec spec(TaskId task) {
+    private @Nullable StepSpec findSpec(TaskId task) {
         Submission submission = submissions.get(task.submission());
         if (submission == null || task.step() >= submission.steps().size()) {
-            strangers.add(task);
+            unsubmittedTasks.add(task);
             return null;
         }
         return submission.steps().get(task.step());
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/WorkItem.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/TrackedSubmission.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** The caller's view of one submission, derived from the replies of the entry VMs. */
-public final class WorkItem {
+public final class TrackedSubmission {
 
     /** The submission. */
     private final Submission submission;
@@ -21,10 +21,10 @@
     private boolean refused;
 
     /** Whether the caller has given up and an attempt without an answer may have been accepted. */
-    private boolean unknown;
+    private boolean outcomeUnknown;
 
     /** Whether the caller has requested the cancellation. */
-    private boolean cancelAsked;
+    private boolean cancelRequested;
 
     /** Whether an attempt got no answer, so that the submission may have been accepted. */
     private boolean unanswered;
@@ -38,7 +38,7 @@
      * @param submission the submission
      * @param route the route to which it is sent
      */
-    WorkItem(Submission submission, Route route) {
+    TrackedSubmission(Submission submission, Route route) {
         this.submission = submission;
         this.route = route;
     }
@@ -66,7 +66,7 @@
      *
      * @return whether it was acknowledged
      */
-    public boolean accepted() {
+    public boolean isAccepted() {
         return accepted;
     }
 
@@ -76,7 +76,7 @@
      *
      * @return whether it was refused
      */
-    public boolean refused() {
+    public boolean isRefused() {
         return refused;
     }
 
@@ -85,8 +85,8 @@
      *
      * @return whether it was requested
      */
-    public boolean cancelAsked() {
-        return cancelAsked;
+    public boolean isCancelRequested() {
+        return cancelRequested;
     }
 
     /**
@@ -104,38 +104,38 @@
      *
      * @return whether no further reply is expected
      */
-    public boolean settled() {
-        SubmissionState told = state;
-        return refused || unknown || (told != null && told.isFinal());
+    public boolean isSettled() {
+        SubmissionState reportedState = state;
+        return refused || outcomeUnknown || (reportedState != null && reportedState.isFinal());
     }
 
     /** Records the acknowledgement. */
-    void accept() {
+    void markAccepted() {
         accepted = true;
     }
 
     /** Records that an attempt got no answer. */
-    void missAnswer() {
+    void markUnanswered() {
         unanswered = true;
     }
 
     /** Records that the caller has given up after the last attempt. */
-    void giveUp() {
+    void markGivenUp() {
         refused = !unanswered;
-        unknown = unanswered;
+        outcomeUnknown = unanswered;
     }
 
     /** Records that the caller has requested the cancellation. */
-    void askCancel() {
-        cancelAsked = true;
+    void markCancelRequested() {
+        cancelRequested = true;
     }
 
     /**
      * Records a reported state.
      *
-     * @param told the state
+     * @param reportedState the state
      */
-    void tell(SubmissionState told) {
-        state = told;
+    void updateState(SubmissionState reportedState) {
+        state = reportedState;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.damasktiller.lab.load.CallerLoad;
-import org.damasktiller.lab.load.PromiseCheck;
-import org.damasktiller.lab.load.SubmittedWork;
-import org.damasktiller.lab.load.WorkItem;
+import org.damasktiller.lab.load.CallerSimulator;
+import org.damasktiller.lab.load.GuaranteeChecker;
+import org.damasktiller.lab.load.SubmittedTaskBehaviour;
+import org.damasktiller.lab.load.TrackedSubmission;
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.lab.rig.EntryProcess;
 import org.damasktiller.lab.rig.LabLoop;
@@ -74,13 +74,13 @@
     private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
 
     /** What callers have submitted. */
-    private final SubmittedWork work;
+    private final SubmittedTaskBehaviour work;
 
     /** The deployment while it runs. */
     private final Rig rig;
 
     /** The callers. */
-    private final CallerLoad load;
+    private final CallerSimulator load;
 
     /**
      * Creates a run.
@@ -102,7 +102,7 @@
         this.loadMillis = seconds * MILLIS_PER_SECOND;
         this.output = output;
         RandomGenerator random = new Well19937c(1);
-        work = new SubmittedWork(random, 0);
+        work = new SubmittedTaskBehaviour(random, 0);
         loop = new LabLoop("local", output::println);
         RigSettings settings =
                 RigSettings.builder(temporaryDirectory())
@@ -113,7 +113,7 @@
                         .build();
         rig = loop.await(made -> made.complete(new Rig(loop, settings, work, audit, random)));
         load =
-                new CallerLoad(
+                new CallerSimulator(
                         loop.runtime(),
                         new CallerClient(loop.eventloop(), CALL_MILLIS),
                         rig.entryVms().stream().map(EntryProcess::callers).toList(),
@@ -178,10 +178,10 @@
      * @param beganMillis when the load began, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
-        long open = load.items().stream().filter(item -> !item.settled()).count();
-        output.println("sent " + load.items().size() + ", open " + open);
+        long open = load.submissions().stream().filter(item -> !item.isSettled()).count();
+        output.println("sent " + load.submissions().size() + ", open " + open);
         long passed = loop.runtime().nowMillis() - beganMillis;
-        boolean sent = load.items().size() == table.rows().size() * PER_ROW;
+        boolean sent = load.submissions().size() == table.rows().size() * PER_ROW;
         if ((sent && open == 0) || passed > loadMillis + FINISH_MILLIS) {
             finished.complete(sent && open == 0);
             return;
@@ -199,18 +199,20 @@
         output.printf("%-20s %8s %9s %8s%n", "kind", "accepted", "succeeded", "refused");
         for (KindOfWork row : table.rows()) {
             String kind = row.name().value();
-            List<WorkItem> items =
-                    load.items().stream().filter(item -> item.route().name().equals(kind)).toList();
+            List<TrackedSubmission> items =
+                    load.submissions().stream()
+                            .filter(item -> item.route().name().equals(kind))
+                            .toList();
             output.printf(
                     "%-20s %8d %9d %8d%n",
                     kind,
-                    items.stream().filter(WorkItem::accepted).count(),
+                    items.stream().filter(TrackedSubmission::isAccepted).count(),
                     items.stream()
                             .filter(item -> item.state() == SubmissionState.SUCCEEDED)
                             .count(),
-                    items.stream().filter(WorkItem::refused).count());
+                    items.stream().filter(TrackedSubmission::isRefused).count());
         }
-        PromiseCheck check = new PromiseCheck(load, audit, work);
+        GuaranteeChecker check = new GuaranteeChecker(load, audit, work);
         List<String> found =
                 loop.await(
                         result -> {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.math3.random.RandomGenerator;
-import org.damasktiller.lab.load.CallerLoad;
-import org.damasktiller.lab.load.WorkItem;
+import org.damasktiller.lab.load.CallerSimulator;
+import org.damasktiller.lab.load.TrackedSubmission;
 import org.damasktiller.lab.rig.Rig;
 import org.damasktiller.scheduler.model.IngressLimits;
 import org.damasktiller.scheduler.model.Manifest;
@@ -61,7 +61,7 @@
     private final RandomGenerator random;
 
     /** The callers. */
-    private final CallerLoad load;
+    private final CallerSimulator load;
 
     /** The routes. */
     private final Manifest manifest = manifest();
@@ -76,7 +76,7 @@
      * @param random draws
      * @param load the callers
      */
-    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerLoad load) {
+    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerSimulator load) {
         this.runtime = runtime;
         this.random = random;
         this.load = load;
@@ -117,7 +117,7 @@
         Route route = manifest.routes().get(random.nextInt(manifest.routes().size()));
         Submission submission =
                 new Submission(load.nextId(), "soak", lasting ? lasting() : steps(), 0, 0, 0);
-        WorkItem item = load.send(route, submission);
+        TrackedSubmission item = load.send(route, submission);
         if (random.nextDouble() < CANCEL_CHANCE) {
             runtime.schedule(random.nextInt(LONGEST_CANCEL_MILLIS), () -> cancelOnceAccepted(item));
         }
@@ -128,10 +128,10 @@
      *
      * @param item the submission
      */
-    private void cancelOnceAccepted(WorkItem item) {
-        if (item.accepted()) {
+    private void cancelOnceAccepted(TrackedSubmission item) {
+        if (item.isAccepted()) {
             load.cancel(item);
-        } else if (!item.settled()) {
+        } else if (!item.isSettled()) {
             runtime.schedule(INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
         }
     }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -11,9 +11,9 @@
 import java.util.stream.Stream;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.damasktiller.lab.load.CallerLoad;
-import org.damasktiller.lab.load.PromiseCheck;
-import org.damasktiller.lab.load.SubmittedWork;
+import org.damasktiller.lab.load.CallerSimulator;
+import org.damasktiller.lab.load.GuaranteeChecker;
+import org.damasktiller.lab.load.SubmittedTaskBehaviour;
 import org.damasktiller.lab.rig.EntryProcess;
 import org.damasktiller.lab.rig.LabLoop;
 import org.damasktiller.lab.rig.Rig;
@@ -85,7 +85,7 @@
     private final Rig rig;
 
     /** The callers. */
-    private final CallerLoad callers;
+    private final CallerSimulator callers;
 
     /** The load. */
     private final SoakLoad load;
@@ -94,7 +94,7 @@
     private final Manifest manifest = SoakLoad.manifest();
 
     /** The check of the promises. */
-    private final PromiseCheck check;
+    private final GuaranteeChecker check;
 
     /** Draws the faults. */
     private final FaultDraw draw;
@@ -124,18 +124,18 @@
         random = new Well19937c(settings.seed());
         loop = new LabLoop("soak", ownFaults::add);
         runtime = loop.runtime();
-        SubmittedWork work = new SubmittedWork(random, FAILURE_CHANCE);
+        SubmittedTaskBehaviour work = new SubmittedTaskBehaviour(random, FAILURE_CHANCE);
         RigSettings size = RigSettings.builder(directory).build();
         rig = loop.await(made -> made.complete(new Rig(loop, size, work, audit, random)));
         callers =
-                new CallerLoad(
+                new CallerSimulator(
                         runtime,
                         new CallerClient(loop.eventloop(), CALL_MILLIS),
                         rig.entryVms().stream().map(EntryProcess::callers).toList(),
                         random,
                         work);
         load = new SoakLoad(runtime, random, callers);
-        check = new PromiseCheck(callers, audit, work);
+        check = new GuaranteeChecker(callers, audit, work);
         draw = new FaultDraw(random, rig, manifest);
     }
 
@@ -155,7 +155,7 @@
         found.addAll(faultsInLogs());
         output.printf(
                 "seed %d: %d faults, %d submissions, %d violations%n",
-                settings.seed(), faults, callers.items().size(), found.size());
+                settings.seed(), faults, callers.submissions().size(), found.size());
         found.forEach(line -> output.println("  violation: " + line));
         return found.isEmpty();
     }
