--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
@@ -16,7 +16,7 @@
 public final class CommandLine {
 
     /** The name of the program in messages and help texts. */
-    private static final String PROGRAM = "damasktiller";
+    private static final String PROGRAM_NAME = "damasktiller";
 
     /** The available commands. */
     private final List<Command> commands;
@@ -58,16 +58,16 @@
      */
     public ExitCode run(String[] arguments) {
         HelpFlag help = new HelpFlag();
-        JCommander parser = parser(help);
+        JCommander parser = createParser(help);
         try {
             parser.parse(arguments);
             return dispatch(parser, help);
         } catch (ParameterException exception) {
-            errors.println(PROGRAM + ": " + exception.getMessage() + "; see --help");
+            errors.println(PROGRAM_NAME + ": " + exception.getMessage() + "; see --help");
             return ExitCode.USAGE;
         } catch (DamasktillerException failure) {
             errors.println(
-                    PROGRAM
+                    PROGRAM_NAME
                             + ": "
                             + failure.code()
                             + " at "
@@ -87,12 +87,13 @@
      * @param help receives the help flag of the program
      * @return the parser
      */
-    private JCommander parser(HelpFlag help) {
+    private JCommander createParser(HelpFlag help) {
         JCommander.Builder builder =
                 JCommander.newBuilder()
-                        .programName(PROGRAM)
+                        .programName(PROGRAM_NAME)
                         .addObject(help)
-                        .defaultProvider(flag -> environment.get(Settings.variableOf(flag)));
+                        .defaultProvider(
+                                flag -> environment.get(Settings.environmentVariableOf(flag)));
         commands.forEach(
                 command -> builder.addCommand(command.name(), List.of(command, new HelpFlag())));
         return builder.build();
@@ -108,11 +109,11 @@
     private ExitCode dispatch(JCommander parser, HelpFlag help) {
         JCommander selected = parser.getCommands().get(parser.getParsedCommand());
         if (help.requested || selected == null) {
-            (help.requested ? output : errors).println(usage(parser));
+            (help.requested ? output : errors).println(formatUsage(parser));
             return help.requested ? ExitCode.SUCCESS : ExitCode.USAGE;
         }
-        if (asksForHelp(selected)) {
-            output.println(usage(selected));
+        if (isHelpRequested(selected)) {
+            output.println(formatUsage(selected));
             return ExitCode.SUCCESS;
         }
         Command command = (Command) selected.getObjects().get(0);
@@ -125,7 +126,7 @@
      * @param command the parser of the command
      * @return whether the help flag of the command is set
      */
-    private static boolean asksForHelp(JCommander command) {
+    private static boolean isHelpRequested(JCommander command) {
         return command.getObjects().stream()
                 .anyMatch(object -> object instanceof HelpFlag flag && flag.requested);
     }
@@ -136,7 +137,7 @@
      * @param parser the parser of the program or of the command
      * @return the help text
      */
-    private static String usage(JCommander parser) {
+    private static String formatUsage(JCommander parser) {
         StringBuilder text = new StringBuilder();
         parser.getUsageFormatter().usage(text);
         return text.toString();
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/EntryCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/EntryCommand.java
@@ -18,7 +18,7 @@
             names = "--settings",
             description = "Path of the platform's settings file",
             required = true)
-    private String settings = "";
+    private String settingsPath = "";
 
     /** Creates the command; JCommander sets its fields. */
     public EntryCommand() {}
@@ -30,7 +30,7 @@
 
     @Override
     public ExitCode run(PrintStream output) {
-        Path path = Path.of(settings);
+        Path path = Path.of(settingsPath);
         new NodeProcess(path, SettingsReader.read(path)).run();
         return ExitCode.SUCCESS;
     }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExitCode.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/ExitCode.java
@@ -16,18 +16,18 @@
     /** It is unknown whether the request took effect. */
     OUTCOME_UNKNOWN(4),
     /** A local run or a soak did not finish or found a violated guarantee. */
-    UNACCOUNTED(5);
+    CHECK_FAILED(5);
 
     /** The exit status of the process. */
-    private final int number;
+    private final int status;
 
     /**
      * Creates an exit code.
      *
-     * @param number the exit status of the process
+     * @param status the exit status of the process
      */
-    ExitCode(int number) {
-        this.number = number;
+    ExitCode(int status) {
+        this.status = status;
     }
 
     /**
@@ -35,8 +35,8 @@
      *
      * @return the exit status
      */
-    public int number() {
-        return number;
+    public int status() {
+        return status;
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/LocalCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/LocalCommand.java
@@ -17,14 +17,14 @@
 public final class LocalCommand implements Command {
 
     /** The maximum duration of the load, in seconds. */
-    private static final long MAXIMUM_SECONDS = 3_600;
+    private static final long MAXIMUM_LOAD_SECONDS = 3_600;
 
     /** The maximum number of entry VMs; each is a process of this machine. */
-    private static final long MAXIMUM_ENTRY_VMS = 32;
+    private static final long MAXIMUM_ENTRY_VM_COUNT = 32;
 
     /** The path of the file with the table. */
     @Parameter(names = "--table", description = "File with the table as CSV", required = true)
-    private String table = "";
+    private String tablePath = "";
 
     /** The deployment whose zones and workers are simulated. */
     @Parameter(
@@ -34,11 +34,11 @@
 
     /** The duration of the load, in seconds. */
     @Parameter(names = "--seconds", description = "Duration of the load, in seconds")
-    private long seconds = 6;
+    private long loadSeconds = 6;
 
     /** The number of entry VMs. */
     @Parameter(names = "--entry-vms", description = "Number of entry VMs, each a process")
-    private int entryVms = 4;
+    private int entryVmCount = 4;
 
     /** Creates the command; JCommander sets its fields. */
     public LocalCommand() {}
@@ -50,15 +50,15 @@
 
     @Override
     public ExitCode run(PrintStream output) {
-        Settings.inRange("--seconds", seconds, 1, MAXIMUM_SECONDS);
-        Settings.inRange("--entry-vms", entryVms, 1, MAXIMUM_ENTRY_VMS);
+        Settings.requireInRange("--seconds", loadSeconds, 1, MAXIMUM_LOAD_SECONDS);
+        Settings.requireInRange("--entry-vms", entryVmCount, 1, MAXIMUM_ENTRY_VM_COUNT);
         LocalRun run =
                 new LocalRun(
                         deployment,
-                        TableCommand.read(table, deployment),
-                        entryVms,
-                        seconds,
+                        TableCommand.readTable(tablePath, deployment),
+                        entryVmCount,
+                        loadSeconds,
                         output);
-        return run.run() ? ExitCode.SUCCESS : ExitCode.UNACCOUNTED;
+        return run.run() ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/Main.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/Main.java
@@ -14,8 +14,9 @@
      * @param arguments the name of the command and its flags
      */
     public static void main(String[] arguments) {
-        CommandLine line = new CommandLine(commands(), System.getenv(), System.out, System.err);
-        System.exit(line.run(arguments).number());
+        CommandLine commandLine =
+                new CommandLine(createCommands(), System.getenv(), System.out, System.err);
+        System.exit(commandLine.run(arguments).status());
     }
 
     /**
@@ -23,7 +24,7 @@
      *
      * @return the commands, in the order of the help text
      */
-    public static List<Command> commands() {
+    public static List<Command> createCommands() {
         return List.of(
                 new EntryCommand(),
                 new LocalCommand(),
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/SoakCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/SoakCommand.java
@@ -18,10 +18,10 @@
 public final class SoakCommand implements Command {
 
     /** The maximum time during which faults are injected, in seconds. */
-    private static final long MAXIMUM_SECONDS = 3_600;
+    private static final long MAXIMUM_FAULT_SECONDS = 3_600;
 
     /** Matches a range of seeds; both ends are included. */
-    private static final Pattern RANGE = Pattern.compile("(\\d{1,18})-(\\d{1,18})");
+    private static final Pattern SEED_RANGE = Pattern.compile("(\\d{1,18})-(\\d{1,18})");
 
     /** The seed of a single run; ignored if a range of seeds is given. */
     @Parameter(names = "--seed", description = "Seed of the fault plan")
@@ -29,11 +29,11 @@
 
     /** The range of seeds to run one after the other, empty for a single seed. */
     @Parameter(names = "--seeds", description = "Range of seeds, A-B; takes precedence over --seed")
-    private String seeds = "";
+    private String seedRange = "";
 
     /** How long each run injects faults, in seconds. */
     @Parameter(names = "--for", description = "How long faults are injected, in seconds")
-    private long seconds = 30;
+    private long faultSeconds = 30;
 
     /** The directory under which the settings and logs of each seed are written. */
     @Parameter(
@@ -51,15 +51,15 @@
 
     @Override
     public ExitCode run(PrintStream output) {
-        Settings.inRange("--for", seconds, 1, MAXIMUM_SECONDS);
-        List<Long> failed = new ArrayList<>();
-        for (long next : chosen()) {
-            if (!new SoakRun(new SoakSettings(next, seconds, directory), output).run()) {
-                failed.add(next);
+        Settings.requireInRange("--for", faultSeconds, 1, MAXIMUM_FAULT_SECONDS);
+        List<Long> failedSeeds = new ArrayList<>();
+        for (long nextSeed : selectedSeeds()) {
+            if (!new SoakRun(new SoakSettings(nextSeed, faultSeconds, directory), output).run()) {
+                failedSeeds.add(nextSeed);
             }
         }
-        output.println("failed seeds: " + failed);
-        return failed.isEmpty() ? ExitCode.SUCCESS : ExitCode.UNACCOUNTED;
+        output.println("failed seeds: " + failedSeeds);
+        return failedSeeds.isEmpty() ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
     }
 
     /**
@@ -69,20 +69,20 @@
      * @throws org.damasktiller.error.DamasktillerException with code BAD_SETTING if the range is
      *     malformed
      */
-    private List<Long> chosen() {
-        if (seeds.isEmpty()) {
+    private List<Long> selectedSeeds() {
+        if (seedRange.isEmpty()) {
             return List.of(seed);
         }
-        Matcher matcher = RANGE.matcher(seeds);
+        Matcher matcher = SEED_RANGE.matcher(seedRange);
         if (!matcher.matches()) {
-            throw Settings.refused("--seeds", seeds, "a range A-B of whole numbers", null);
+            throw Settings.invalidValue("--seeds", seedRange, "a range A-B of whole numbers", null);
         }
-        List<Long> chosen = new ArrayList<>();
-        for (long next = Long.parseLong(matcher.group(1));
-                next <= Long.parseLong(matcher.group(2));
-                next++) {
-            chosen.add(next);
+        List<Long> selected = new ArrayList<>();
+        for (long nextSeed = Long.parseLong(matcher.group(1));
+                nextSeed <= Long.parseLong(matcher.group(2));
+                nextSeed++) {
+            selected.add(nextSeed);
         }
-        return chosen;
+        return selected;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -15,7 +15,7 @@
 import org.damasktiller.identity.ZoneName;
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.lab.settings.Settings;
-import org.damasktiller.lab.table.TableManifest;
+import org.damasktiller.lab.table.TableManifestFactory;
 import org.damasktiller.lab.table.TableSession;
 import org.damasktiller.platform.emulator.OperatorFormats;
 import org.damasktiller.platform.settings.Addresses;
@@ -39,10 +39,10 @@
 public final class TableCommand implements Command {
 
     /** The allowed actions, as listed in error messages. */
-    private static final String ALLOWED = "manifest, get, put, edit or history";
+    private static final String ALLOWED_ACTIONS = "manifest, get, put, edit or history";
 
     /** The maximum number of edits that {@code history} prints. */
-    private static final int HISTORY_EDITS = 50;
+    private static final int HISTORY_EDIT_COUNT = 50;
 
     /** The action to perform. */
     @Parameter(description = "manifest|get|put|edit|history")
@@ -50,11 +50,11 @@
 
     /** The path of the file with the table. */
     @Parameter(names = "--table", description = "File with the table as CSV")
-    private String table = "";
+    private String tablePath = "";
 
     /** The address of the platform's store, empty if none is given. */
     @Parameter(names = "--store", description = "Address of the platform's store, IP:PORT")
-    private String store = "";
+    private String storeAddress = "";
 
     /** The deployment whose availability zones the table may name. */
     @Parameter(
@@ -68,17 +68,17 @@
 
     /** The version of the printed manifest. */
     @Parameter(names = "--manifest-version", description = "Version of the printed manifest")
-    private long version = 1;
+    private long manifestVersion = 1;
 
     /** The version of the table that an edit is based on, 0 for the current version. */
     @Parameter(
             names = "--base",
             description = "Version of the table that the edit is based on; 0 for the current one")
-    private long base;
+    private long baseVersion;
 
     /** The kind of work whose row {@code edit} changes. */
     @Parameter(names = "--kind", description = "Kind of work whose row is edited")
-    private String kind = "";
+    private String kindName = "";
 
     /** The column of the cell that {@code edit} changes. */
     @Parameter(names = "--column", description = "Column of the edited cell")
@@ -86,7 +86,7 @@
 
     /** The new text of the cell that {@code edit} changes. */
     @Parameter(names = "--value", description = "New text of the cell")
-    private String value = "";
+    private String cellText = "";
 
     /** The identifier of the edit, which makes a retry idempotent; empty for a random one. */
     @Parameter(
@@ -108,17 +108,17 @@
 
     @Override
     public ExitCode run(PrintStream output) {
-        if (action.equals("manifest") && store.isEmpty()) {
-            printManifest(output, read(table, deployment));
+        if (action.equals("manifest") && storeAddress.isEmpty()) {
+            printManifest(output, readTable(tablePath, deployment));
             return ExitCode.SUCCESS;
         }
-        InetSocketAddress address = Addresses.parse(store);
+        InetSocketAddress address = Addresses.parse(storeAddress);
         if (address == null) {
-            throw Settings.refused("--store", store, "IP:PORT", null);
+            throw Settings.invalidValue("--store", storeAddress, "IP:PORT", null);
         }
         Set<ZoneName> zones = deployment.zones().keySet();
         try (TableSession session = new TableSession(address, zones)) {
-            act(session, output);
+            performAction(session, output);
         }
         return ExitCode.SUCCESS;
     }
@@ -132,8 +132,8 @@
      * @throws org.damasktiller.error.DamasktillerException with code BAD_TABLE and the invalid
      *     cell, or with code BAD_SETTING if the file cannot be read
      */
-    static OperatorTable read(String file, Deployment deployment) {
-        return new TableReader(deployment.zones().keySet()).read(bytes(file), 0);
+    static OperatorTable readTable(String file, Deployment deployment) {
+        return new TableReader(deployment.zones().keySet()).read(readBytes(file), 0);
     }
 
     /**
@@ -142,7 +142,7 @@
      * @param session the session with the store
      * @param output the stream for results
      */
-    private void act(TableSession session, PrintStream output) {
+    private void performAction(TableSession session, PrintStream output) {
         switch (action) {
             case "manifest" -> printManifest(output, session.call(tables -> tables.read()));
             case "get" ->
@@ -153,9 +153,9 @@
             case "put" -> printResult(output, put(session));
             case "edit" -> printResult(output, edit(session));
             case "history" ->
-                    session.call(tables -> tables.history(HISTORY_EDITS))
+                    session.call(tables -> tables.history(HISTORY_EDIT_COUNT))
                             .forEach(delta -> printEdit(output, delta));
-            default -> throw Settings.refused("table", action, ALLOWED, null);
+            default -> throw Settings.invalidValue("table", action, ALLOWED_ACTIONS, null);
         }
     }
 
@@ -167,9 +167,10 @@
      * @return the new version and the changes
      */
     private EditResult put(TableSession session) {
-        byte[] csv = bytes(table);
-        long from = base == 0 ? session.call(tables -> tables.read()).version() : base;
-        return session.call(tables -> tables.put(identity(), operator, from, csv));
+        byte[] csv = readBytes(tablePath);
+        long fromVersion =
+                baseVersion == 0 ? session.call(tables -> tables.read()).version() : baseVersion;
+        return session.call(tables -> tables.put(resolveEditId(), operator, fromVersion, csv));
     }
 
     /**
@@ -179,13 +180,16 @@
      * @return the new version and the changes
      */
     private EditResult edit(TableSession session) {
-        OperatorTable from =
-                base == 0
+        OperatorTable baseTable =
+                baseVersion == 0
                         ? session.call(tables -> tables.read())
-                        : session.call(tables -> tables.readAt(base));
-        OperatorTable wanted = CellEdits.withCell(from, new KindName(kind), column, value);
+                        : session.call(tables -> tables.readAt(baseVersion));
+        OperatorTable editedTable =
+                CellEdits.withCell(baseTable, new KindName(kindName), column, cellText);
         return session.call(
-                tables -> tables.edit(new TableEdit(identity(), operator, from, wanted)));
+                tables ->
+                        tables.edit(
+                                new TableEdit(resolveEditId(), operator, baseTable, editedTable)));
     }
 
     /**
@@ -193,7 +197,7 @@
      *
      * @return the given identifier, or a random one if none is given
      */
-    private EditId identity() {
+    private EditId resolveEditId() {
         return new EditId(editId.isEmpty() ? UUID.randomUUID().toString() : editId);
     }
 
@@ -201,10 +205,12 @@
      * Prints the manifest of a table.
      *
      * @param output the stream to print to
-     * @param rows the table
+     * @param operatorTable the table
      */
-    private void printManifest(PrintStream output, OperatorTable rows) {
-        byte[] text = OperatorFormats.manifest(TableManifest.of(rows, service, version));
+    private void printManifest(PrintStream output, OperatorTable operatorTable) {
+        byte[] text =
+                OperatorFormats.manifest(
+                        TableManifestFactory.create(operatorTable, service, manifestVersion));
         output.println(new String(text, StandardCharsets.UTF_8));
     }
 
@@ -245,11 +251,11 @@
      * @param file the path of the file
      * @return the content
      */
-    private static byte[] bytes(String file) {
+    private static byte[] readBytes(String file) {
         try {
             return Files.readAllBytes(Path.of(file));
         } catch (IOException exception) {
-            throw Settings.refused("--table", file, "a readable file with a table", exception);
+            throw Settings.invalidValue("--table", file, "a readable file with a table", exception);
         }
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogReader.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/LogReader.java
@@ -42,13 +42,14 @@
         for (Path file : files) {
             try {
                 for (String text : Files.readString(file, StandardCharsets.UTF_8).split("\n")) {
-                    LogLine line = parse(text);
+                    LogLine line = parseLine(text);
                     if (line != null) {
                         lines.add(line);
                     }
                 }
             } catch (IOException exception) {
-                throw Settings.refused("--log", file.toString(), "a readable log file", exception);
+                throw Settings.invalidValue(
+                        "--log", file.toString(), "a readable log file", exception);
             }
         }
         lines.sort(Comparator.comparingLong(LogLine::unixMillis));
@@ -61,7 +62,7 @@
      * @param text the text of the line
      * @return the parsed line, or null if the text has no log event
      */
-    private @Nullable LogLine parse(String text) {
+    private @Nullable LogLine parseLine(String text) {
         int start = text.indexOf('{');
         if (start < 0) {
             return null;
@@ -76,7 +77,7 @@
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        node.properties().forEach(field -> fields.put(field.getKey(), text(field.getValue())));
+        node.properties().forEach(field -> fields.put(field.getKey(), toText(field.getValue())));
         fields.keySet().removeAll(Set.of("time", "node", "event"));
         return new LogLine(
                 node.path("time").asLong(),
@@ -91,7 +92,7 @@
      * @param value the value
      * @return the plain text of a scalar value, the JSON of an object or array
      */
-    private static String text(JsonNode value) {
+    private static String toText(JsonNode value) {
         return value.isValueNode() ? value.asText() : value.toString();
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/Timeline.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/explain/Timeline.java
@@ -36,16 +36,16 @@
                     "process.stop");
 
     /** The field with the identifier of a worker. */
-    private static final String WORKER = "worker";
+    private static final String WORKER_FIELD = "worker";
 
     /** The identifier of the submission. */
     private final String id;
 
     /** The lines that refer to the submission or its tasks, in the order of their times. */
-    private final List<LogLine> own = new ArrayList<>();
+    private final List<LogLine> submissionLines = new ArrayList<>();
 
     /** The lines of the timeline, in the order of their times. */
-    private final List<LogLine> told = new ArrayList<>();
+    private final List<LogLine> timelineLines = new ArrayList<>();
 
     /**
      * Creates the timeline of a submission.
@@ -58,25 +58,28 @@
         Set<String> workers = new HashSet<>();
         Set<String> nodes = new HashSet<>();
         for (LogLine line : logs.lines()) {
-            if (names(line)) {
-                own.add(line);
-                workers.add(line.field(WORKER));
+            if (refersToSubmission(line)) {
+                submissionLines.add(line);
+                workers.add(line.field(WORKER_FIELD));
                 nodes.add(line.node());
             }
         }
         workers.remove("");
-        if (own.isEmpty()) {
+        if (submissionLines.isEmpty()) {
             return;
         }
-        long first = own.get(0).unixMillis();
-        long last = own.get(own.size() - 1).unixMillis();
+        long firstMillis = submissionLines.get(0).unixMillis();
+        long lastMillis = submissionLines.get(submissionLines.size() - 1).unixMillis();
         for (LogLine line : logs.lines()) {
-            boolean within = line.unixMillis() >= first && line.unixMillis() <= last;
-            boolean ofWorker =
-                    WORKER_EVENTS.contains(line.event()) && workers.contains(line.field(WORKER));
-            boolean ofOwner = OWNER_EVENTS.contains(line.event()) && nodes.contains(line.node());
-            if (names(line) || (within && (ofWorker || ofOwner))) {
-                told.add(line);
+            boolean duringSubmission =
+                    line.unixMillis() >= firstMillis && line.unixMillis() <= lastMillis;
+            boolean isWorkerEvent =
+                    WORKER_EVENTS.contains(line.event())
+                            && workers.contains(line.field(WORKER_FIELD));
+            boolean isOwnerEvent =
+                    OWNER_EVENTS.contains(line.event()) && nodes.contains(line.node());
+            if (refersToSubmission(line) || (duringSubmission && (isWorkerEvent || isOwnerEvent))) {
+                timelineLines.add(line);
             }
         }
     }
@@ -87,7 +90,7 @@
      * @return whether no line refers to it
      */
     public boolean isEmpty() {
-        return own.isEmpty();
+        return submissionLines.isEmpty();
     }
 
     /**
@@ -97,18 +100,21 @@
      *     only a notice if no line refers to the submission
      */
     public List<String> lines() {
-        if (own.isEmpty()) {
+        if (submissionLines.isEmpty()) {
             return List.of("no line of these logs refers to submission " + id);
         }
-        long first = own.get(0).unixMillis();
+        long firstMillis = submissionLines.get(0).unixMillis();
         List<String> lines = new ArrayList<>();
-        for (LogLine line : told) {
+        for (LogLine line : timelineLines) {
             lines.add(
                     String.format(
                             "%8d ms  %-24s %-22s %s",
-                            line.unixMillis() - first, line.node(), line.event(), line.fields()));
+                            line.unixMillis() - firstMillis,
+                            line.node(),
+                            line.event(),
+                            line.fields()));
         }
-        lines.add(summary(first));
+        lines.add(summarize(firstMillis));
         return lines;
     }
 
@@ -118,39 +124,39 @@
      * @param line the line
      * @return whether it does
      */
-    private boolean names(LogLine line) {
+    private boolean refersToSubmission(LogLine line) {
         return line.field("id").equals(id) || line.field("task").startsWith(id + '.');
     }
 
     /**
      * Summarizes the runs of the submission and its last event.
      *
-     * @param first the time of its first line, in milliseconds since 1970
+     * @param firstMillis the time of its first line, in milliseconds since 1970
      * @return the summary, one line
      */
-    private String summary(long first) {
-        long starts = count("run.start");
-        long tasks =
-                own.stream()
+    private String summarize(long firstMillis) {
+        long starts = countEvents("run.start");
+        long startedTasks =
+                submissionLines.stream()
                         .filter(line -> line.event().equals("run.start"))
                         .map(line -> line.field("task"))
                         .distinct()
                         .count();
-        long lost = count("run.lost");
-        long refused = count("run.refused");
-        LogLine end = own.get(own.size() - 1);
+        long lostRuns = countEvents("run.lost");
+        long refusedStarts = countEvents("run.refused");
+        LogLine lastLine = submissionLines.get(submissionLines.size() - 1);
         return "summary: "
                 + starts
                 + " starts of "
-                + tasks
+                + startedTasks
                 + " tasks, "
-                + lost
+                + lostRuns
                 + " runs lost, "
-                + refused
+                + refusedStarts
                 + " starts refused; last "
-                + end.event()
+                + lastLine.event()
                 + " after "
-                + (end.unixMillis() - first)
+                + (lastLine.unixMillis() - firstMillis)
                 + " ms";
     }
 
@@ -160,7 +166,7 @@
      * @param event the name of the event
      * @return the number of lines
      */
-    private long count(String event) {
-        return own.stream().filter(line -> line.event().equals(event)).count();
+    private long countEvents(String event) {
+        return submissionLines.stream().filter(line -> line.event().equals(event)).count();
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -19,7 +19,7 @@
 import org.damasktiller.lab.rig.LabLoop;
 import org.damasktiller.lab.rig.Rig;
 import org.damasktiller.lab.rig.RigSettings;
-import org.damasktiller.lab.table.TableManifest;
+import org.damasktiller.lab.table.TableManifestFactory;
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
@@ -71,7 +71,7 @@
     private final LabLoop loop;
 
     /** What the workers ran. */
-    private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
+    private final RunAudit audit = new RunAudit(TableManifestFactory.MAXIMUM_ATTEMPTS);
 
     /** What callers have submitted. */
     private final SubmittedTaskBehaviour work;
@@ -145,7 +145,7 @@
      * @param finished takes whether all work finished
      */
     private void begin(CompletableFuture<Boolean> finished) {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 1);
+        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 1);
         rig.manifest(manifest, manifest.routes());
         rig.start();
         List<KindOfWork> rows = table.rows();
@@ -164,7 +164,7 @@
 
     /** Puts a newer manifest in force and drains the last entry VM. */
     private void change() {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 2);
+        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 2);
         rig.manifest(manifest, manifest.routes());
         EntryProcess last = rig.entryVms().get(rig.entryVms().size() - 1);
         output.println("manifest version 2 is in the store; draining " + last.name());
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
@@ -28,7 +28,7 @@
      * @param flag the flag, such as {@code --store-timeout-millis}
      * @return the name, such as {@code DAMASKTILLER_STORE_TIMEOUT_MILLIS}
      */
-    public static String variableOf(String flag) {
+    public static String environmentVariableOf(String flag) {
         return VARIABLE_PREFIX
                 + flag.replaceFirst("^-+", "").replace('-', '_').toUpperCase(Locale.ROOT);
     }
@@ -46,7 +46,7 @@
         JCommander parser =
                 JCommander.newBuilder()
                         .addObject(settings)
-                        .defaultProvider(flag -> environment.get(variableOf(flag)))
+                        .defaultProvider(flag -> environment.get(environmentVariableOf(flag)))
                         .build();
         try {
             parser.parse(arguments);
@@ -70,7 +70,7 @@
      * @param cause the underlying error, or null if there is none
      * @return the error, with code BAD_SETTING
      */
-    public static DamasktillerException refused(
+    public static DamasktillerException invalidValue(
             String setting, String value, String allowed, @Nullable Throwable cause) {
         return new DamasktillerException(
                 ErrorCode.BAD_SETTING,
@@ -91,9 +91,9 @@
      * @return the value
      * @throws DamasktillerException with code BAD_SETTING if the setting was not given
      */
-    public static <T> T required(String setting, @Nullable T value, String allowed) {
+    public static <T> T requirePresent(String setting, @Nullable T value, String allowed) {
         if (value == null) {
-            throw refused(setting, "", allowed, null);
+            throw invalidValue(setting, "", allowed, null);
         }
         return value;
     }
@@ -103,13 +103,13 @@
      *
      * @param setting the name of the setting
      * @param value the value
-     * @param least the minimum, inclusive
-     * @param most the maximum, inclusive
+     * @param minimum the minimum, inclusive
+     * @param maximum the maximum, inclusive
      * @throws DamasktillerException with code BAD_SETTING if the value is outside the range
      */
-    public static void inRange(String setting, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw refused(setting, Long.toString(value), least + " to " + most, null);
+    public static void requireInRange(String setting, long value, long minimum, long maximum) {
+        if (value < minimum || value > maximum) {
+            throw invalidValue(setting, Long.toString(value), minimum + " to " + maximum, null);
         }
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
@@ -42,41 +42,41 @@
 
     @Override
     public Promise<Optional<StoredValue>> get(String key) {
-        SettablePromise<Optional<StoredValue>> found = new SettablePromise<>();
+        SettablePromise<Optional<StoredValue>> promise = new SettablePromise<>();
         store.read(
                 key,
                 result -> {
                     if (result.status() == StoreStatus.ABSENT) {
-                        found.set(Optional.empty());
+                        promise.set(Optional.empty());
                     } else if (result.status() == StoreStatus.OK) {
-                        found.set(Optional.ofNullable(value(result.require().item())));
+                        promise.set(Optional.ofNullable(toStoredValue(result.require().item())));
                     } else {
-                        found.setException(unavailable(Step.READ, result, Outcome.NOT_RUN));
+                        promise.setException(storeUnavailable(Step.READ, result, Outcome.NOT_RUN));
                     }
                 });
-        return found;
+        return promise;
     }
 
     @Override
     public Promise<List<StoredValue>> list(String prefix) {
-        SettablePromise<List<StoredValue>> found = new SettablePromise<>();
-        readPage(prefix, "", new ArrayList<>(), found);
-        return found;
+        SettablePromise<List<StoredValue>> promise = new SettablePromise<>();
+        readPage(prefix, "", new ArrayList<>(), promise);
+        return promise;
     }
 
     @Override
     public Promise<SwapResult> compareAndSwap(SwapRequest request) {
-        StoreTransaction commit =
+        StoreTransaction transaction =
                 new StoreTransaction().expectRevision(request.key(), request.expectedRevision());
         byte[] value = request.value();
         if (value == null) {
-            commit.remove(request.key());
+            transaction.remove(request.key());
         } else {
-            commit.put(request.key(), value);
+            transaction.put(request.key(), value);
         }
-        SettablePromise<SwapResult> swapped = new SettablePromise<>();
-        store.commit(commit, result -> complete(swapped, result));
-        return swapped;
+        SettablePromise<SwapResult> promise = new SettablePromise<>();
+        store.commit(transaction, result -> completeSwap(promise, result));
+        return promise;
     }
 
     /**
@@ -85,19 +85,19 @@
      * @param prefix the prefix of the keys
      * @param after the last key of the previous page, empty for the first page
      * @param values the values of the previous pages, to which those of this page are added
-     * @param found completed with the values of all pages, or with the first error
+     * @param promise completed with the values of all pages, or with the first error
      */
     private void readPage(
             String prefix,
             String after,
             List<StoredValue> values,
-            SettablePromise<List<StoredValue>> found) {
+            SettablePromise<List<StoredValue>> promise) {
         store.list(
                 prefix,
                 after,
                 result -> {
                     if (result.status() != StoreStatus.OK) {
-                        found.setException(unavailable(Step.READ, result, Outcome.NOT_RUN));
+                        promise.setException(storeUnavailable(Step.READ, result, Outcome.NOT_RUN));
                         return;
                     }
                     StorePage page = result.require();
@@ -105,10 +105,10 @@
                         values.add(new StoredValue(item.key(), item.value(), item.revision()));
                     }
                     if (page.hasMore() && !page.items().isEmpty()) {
-                        String last = page.items().get(page.items().size() - 1).key();
-                        readPage(prefix, last, values, found);
+                        String lastKey = page.items().get(page.items().size() - 1).key();
+                        readPage(prefix, lastKey, values, promise);
                     } else {
-                        found.set(values);
+                        promise.set(values);
                     }
                 });
     }
@@ -117,21 +117,23 @@
      * Completes the promise of a write. The outcome of a write is unknown unless the store has
      * executed it, refused it or found another revision.
      *
-     * @param swapped the promise of the write
+     * @param promise the promise of the write
      * @param result the reply of the store
      */
-    private static void complete(
-            SettablePromise<SwapResult> swapped, StoreResult<CommitReply> result) {
+    private static void completeSwap(
+            SettablePromise<SwapResult> promise, StoreResult<CommitReply> result) {
         switch (result.status()) {
-            case OK -> swapped.set(new SwapResult(true, result.require().revision(), null));
+            case OK -> promise.set(new SwapResult(true, result.require().revision(), null));
             case CONFLICT -> {
                 List<StoreItem> current = result.require().currentItems();
                 StoreItem item = current.isEmpty() ? null : current.get(0);
-                swapped.set(new SwapResult(false, 0, value(item)));
+                promise.set(new SwapResult(false, 0, toStoredValue(item)));
             }
-            case REFUSED -> swapped.setException(unavailable(Step.COMMIT, result, Outcome.NOT_RUN));
+            case REFUSED ->
+                    promise.setException(storeUnavailable(Step.COMMIT, result, Outcome.NOT_RUN));
             default ->
-                    swapped.setException(unavailable(Step.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
+                    promise.setException(
+                            storeUnavailable(Step.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
         }
     }
 
@@ -141,7 +143,7 @@
      * @param item the item, or null if the key is absent
      * @return the stored value, or null if the key is absent
      */
-    private static @Nullable StoredValue value(@Nullable StoreItem item) {
+    private static @Nullable StoredValue toStoredValue(@Nullable StoreItem item) {
         return item == null ? null : new StoredValue(item.key(), item.value(), item.revision());
     }
 
@@ -153,7 +155,7 @@
      * @param outcome whether the call took effect
      * @return the error, with code STORE_UNAVAILABLE
      */
-    private static DamasktillerException unavailable(
+    private static DamasktillerException storeUnavailable(
             Step step, StoreResult<?> result, Outcome outcome) {
         return new DamasktillerException(
                 ErrorCode.STORE_UNAVAILABLE, step, "store", outcome, result.reason());
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifest.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifestFactory.java
@@ -15,25 +15,25 @@
  * manifest has no weights, shares, limits of running work or places, so the platform does not
  * enforce these columns of the table.
  */
-public final class TableManifest {
+public final class TableManifestFactory {
 
     /** The maximum number of attempts of a task that may be run again. */
-    public static final int ATTEMPTS = 3;
+    public static final int MAXIMUM_ATTEMPTS = 3;
 
     /** The maximum size of the body of a submission, in bytes. */
-    private static final int BODY_BYTES = 1 << 20;
+    private static final int MAXIMUM_BODY_BYTES = 1 << 20;
 
     /** The idle timeout of callers' connections, in milliseconds. */
-    private static final long IDLE_MILLIS = 30_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
     /** The factor by which the latency objective stretches the critical path. */
-    private static final double EXTENSION = 2;
+    private static final double EXTENSION_FACTOR = 2;
 
     /** The time that the latency objective adds if the row has no target, in milliseconds. */
-    private static final long DEFAULT_TARGET_MILLIS = 1_000;
+    private static final long DEFAULT_TARGET_LATENCY_MILLIS = 1_000;
 
     /** Prevents instantiation. */
-    private TableManifest() {}
+    private TableManifestFactory() {}
 
     /**
      * Creates the manifest of a table.
@@ -43,10 +43,13 @@
      * @param version the version of the manifest
      * @return the manifest
      */
-    public static Manifest of(OperatorTable table, String service, long version) {
-        List<Route> routes = table.rows().stream().map(row -> route(row, service)).toList();
+    public static Manifest create(OperatorTable table, String service, long version) {
+        List<Route> routes = table.rows().stream().map(row -> toRoute(row, service)).toList();
         return new Manifest(
-                version, routes, Set.of(service), new IngressLimits(BODY_BYTES, IDLE_MILLIS));
+                version,
+                routes,
+                Set.of(service),
+                new IngressLimits(MAXIMUM_BODY_BYTES, IDLE_TIMEOUT_MILLIS));
     }
 
     /**
@@ -56,18 +59,18 @@
      * @param service the name of the service
      * @return the route
      */
-    private static Route route(KindOfWork row, String service) {
+    private static Route toRoute(KindOfWork row, String service) {
         String kind = row.name().value();
-        long target = row.latencyTargetMillis();
+        long targetMillis = row.latencyTargetMillis();
         return new Route(
                 kind,
                 row.tenant().value() + ".example",
                 "/" + kind + "/",
                 service,
-                priority(row.workClass()),
-                row.repeat() == Repeat.AT_MOST_ONCE ? 1 : ATTEMPTS,
-                EXTENSION,
-                target == 0 ? DEFAULT_TARGET_MILLIS : target,
+                priorityOf(row.workClass()),
+                row.repeat() == Repeat.AT_MOST_ONCE ? 1 : MAXIMUM_ATTEMPTS,
+                EXTENSION_FACTOR,
+                targetMillis == 0 ? DEFAULT_TARGET_LATENCY_MILLIS : targetMillis,
                 false);
     }
 
@@ -77,7 +80,7 @@
      * @param workClass the class
      * @return the priority; 0 is the most urgent
      */
-    private static int priority(WorkClass workClass) {
+    private static int priorityOf(WorkClass workClass) {
         return switch (workClass) {
             case URGENT -> 0;
             case INTERACTIVE -> 1;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -19,7 +19,7 @@
 public final class TableSession implements AutoCloseable {
 
     /** The timeout of a request to the store, in milliseconds. */
-    private static final long STORE_MILLIS = 5_000;
+    private static final long STORE_TIMEOUT_MILLIS = 5_000;
 
     /** The event loop that performs all requests. */
     private final LabLoop loop = new LabLoop("table", System.err::println);
@@ -34,10 +34,10 @@
      * @param zones the availability zones that the table may name
      */
     public TableSession(InetSocketAddress store, Set<ZoneName> zones) {
-        PlatformCaller caller = new PlatformCaller(loop.eventloop(), STORE_MILLIS);
-        MetadataKeyValueStore records =
+        PlatformCaller caller = new PlatformCaller(loop.eventloop(), STORE_TIMEOUT_MILLIS);
+        MetadataKeyValueStore keyValueStore =
                 new MetadataKeyValueStore(new HttpMetadataStore(caller, caller, store));
-        repository = new TableRepository(records, zones, loop.runtime()::unixMillis, () -> 0);
+        repository = new TableRepository(keyValueStore, zones, loop.runtime()::unixMillis, () -> 0);
     }
 
     /**
@@ -56,8 +56,8 @@
                                     .whenResult(result::complete)
                                     .whenException(result::completeExceptionally));
         } catch (CompletionException exception) {
-            if (exception.getCause() instanceof DamasktillerException known) {
-                throw known;
+            if (exception.getCause() instanceof DamasktillerException failure) {
+                throw failure;
             }
             throw exception;
         }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
@@ -31,7 +31,7 @@
     @Test
     void testFlagsMatchTheCode() {
         Set<String> expected = new TreeSet<>();
-        for (Command command : Main.commands()) {
+        for (Command command : Main.createCommands()) {
             JCommander parser = JCommander.newBuilder().addObject(command).build();
             parser.parseWithoutValidation();
             for (ParameterDescription parameter : parser.getParameters()) {
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestFactoryTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the conversion of the rows of a table to the routes of a manifest. */
-class TableManifestTest {
+class TableManifestFactoryTest {
 
     private static final String CSV =
             """
@@ -27,7 +27,7 @@
 
     @Test
     void rowsBecomeRoutes() {
-        Manifest manifest = TableManifest.of(table, "workers", 3);
+        Manifest manifest = TableManifestFactory.create(table, "workers", 3);
         assertThat(manifest.version(), is(3L));
         assertThat(manifest.findRoute("accounts.example", "/billing/1").name(), is("billing"));
         assertThat(manifest.findRouteByName("billing").maximumAttempts(), is(1));
@@ -39,7 +39,7 @@
 
     @Test
     void entryVmsReadTheManifestThatIsPrinted() {
-        Manifest manifest = TableManifest.of(table, "workers", 3);
+        Manifest manifest = TableManifestFactory.create(table, "workers", 3);
         byte[] text = OperatorFormats.manifest(manifest);
         assertThat(new PlatformRecords().decodeManifest(text), is(manifest));
     }
