--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -30,8 +30,9 @@
 import org.damasktiller.table.TableWriter;
 
 /**
- * Converts the operators' table to a manifest, and reads and edits the table in the platform's
- * store. Without a store, the table is read from a file.
+ * Checks the operators' table and prints its manifest, and reads and edits the table in the
+ * platform's store. Without the address of a store, {@code manifest} reads the table from a file,
+ * and the other actions fail.
  */
 @Parameters(
         commandNames = "table",
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerSimulator.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerSimulator.java
@@ -182,8 +182,8 @@
     }
 
     /**
-     * Handles the acknowledgement of a submission: starts to poll its state, and with a small
-     * probability sends it once more to check that submitting is idempotent.
+     * Handles the acknowledgement of a submission: starts to poll its state, and with {@link
+     * #RESEND_PROBABILITY} sends a duplicate later. Does nothing if it was acknowledged before.
      *
      * @param tracked the submission
      */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
@@ -22,7 +22,7 @@
     private final SubmittedTaskBehaviour taskBehaviour;
 
     /**
-     * Creates a check.
+     * Creates a checker.
      *
      * @param callers the callers and their submissions
      * @param audit the runs on the simulated workers
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Returns the violations of the guarantees that hold at any time, also during faults.
+     * Describes the violations of the guarantees that hold at any time, also during faults.
      *
      * @return one line per violation
      */
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Returns the submissions that have not reached their expected end. Once faults are over and
+     * Describes the submissions that have not reached their expected end. Once faults are over and
      * work has had time to finish, each of them is a violation.
      *
      * @return one line per submission
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedTaskBehaviour.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedTaskBehaviour.java
@@ -14,9 +14,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Determines the behaviour of submitted tasks on the simulated workers. The resources and the
- * duration of a run come from the submission as its caller sent it, so that a task which the
- * scheduler starts without a submission is detected.
+ * Determines the behaviour of submitted tasks on the simulated workers. Only the caller knows the
+ * resources and the duration of a run, so they are looked up in the submission that it sent. Tasks
+ * that no caller submitted are recorded.
  */
 public final class SubmittedTaskBehaviour implements TaskBehaviour {
 
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
@@ -26,7 +26,7 @@
 /** Tests that the flags, error codes and columns on the operators' page match the code. */
 class OperatorsPageTest {
 
-    private final String page = read();
+    private final String page = readPage();
 
     @Test
     void testFlagsMatchTheCode() {
@@ -101,7 +101,7 @@
                 : page.substring(start.end());
     }
 
-    private static String read() {
+    private static String readPage() {
         try {
             return Files.readString(Path.of("..", "docs", "OPERATORS.md"));
         } catch (IOException exception) {
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/explain/TimelineTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/explain/TimelineTest.java
@@ -42,8 +42,8 @@
     @TempDir private Path directory;
 
     @Test
-    void tellsTheLifeOfASubmissionWithWhatItsWorkersMet() throws IOException {
-        Timeline timeline = new Timeline(ID, logs());
+    void showsTheSubmissionAndTheEventsOfItsWorkers() throws IOException {
+        Timeline timeline = new Timeline(ID, readLogs());
         List<String> lines = timeline.lines();
         assertThat(lines, hasSize(7));
         assertThat(lines, hasItem(containsString("filler.pause")));
@@ -56,22 +56,22 @@
     }
 
     @Test
-    void saysThatNoLineNamesTheSubmission() throws IOException {
-        Timeline timeline = new Timeline("ffffffffffffffff", logs());
+    void reportsThatNoLineRefersToTheSubmission() throws IOException {
+        Timeline timeline = new Timeline("ffffffffffffffff", readLogs());
         assertThat(timeline.isEmpty(), is(true));
         assertThat(timeline.lines(), hasItem(containsString("no line")));
     }
 
     /** Arbitrary text before the log lines must be skipped, and the log lines must be read. */
     @Property(tries = 200)
-    void readsLogsWithAnythingInThem(@ForAll String text) throws IOException {
+    void skipsArbitraryTextBeforeTheLog(@ForAll String text) throws IOException {
         Path file = Files.createTempFile("timeline", ".log");
         Files.writeString(file, text.replace("\\ud800", "") + '\n' + FIRST);
         assertThat(new Timeline(ID, new LogReader().read(List.of(file))).isEmpty(), is(false));
         Files.delete(file);
     }
 
-    private LogLines logs() throws IOException {
+    private LogLines readLogs() throws IOException {
         Path first = Files.writeString(directory.resolve("vm-1.log"), FIRST);
         Path second = Files.writeString(directory.resolve("vm-2.log"), SECOND);
         return new LogReader().read(List.of(first, second));
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestFactoryTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestFactoryTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void entryVmsReadTheManifestThatIsPrinted() {
+    void printedManifestIsDecodedUnchanged() {
         Manifest manifest = TableManifestFactory.create(table, "workers", 3);
         byte[] text = OperatorFormats.manifest(manifest);
         assertThat(new PlatformRecords().decodeManifest(text), is(manifest));
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -42,7 +42,7 @@
 
     private final TableSession session =
             new TableSession(
-                    platform.await(made -> made.complete(serve())),
+                    platform.await(result -> result.complete(startStore())),
                     Deployment.CORRIB.zones().keySet());
 
     @AfterEach
@@ -85,7 +85,7 @@
                 tables -> tables.put(new EditId(id), "operator", base, csv.getBytes(UTF_8)));
     }
 
-    private InetSocketAddress serve() {
+    private InetSocketAddress startStore() {
         StoreModel model = new StoreModel(platform.runtime());
         StoreServlet servlet = new StoreServlet(model, platform.runtime(), FatePlan.CALM, 0);
         return Addresses.parse(
