--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/PromiseCheck.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 
 /** Compares what callers were told with what the workers ran. */
 public final class PromiseCheck {
@@ -13,7 +13,7 @@
     private final CallerLoad load;
 
     /** What the workers ran. */
-    private final RunAudit audit;
+    private final RunInvariantChecker audit;
 
     /** What callers have submitted. */
     private final SubmittedWork work;
@@ -25,7 +25,7 @@
      * @param audit what the workers ran
      * @param work what callers have submitted
      */
-    public PromiseCheck(CallerLoad load, RunAudit audit, SubmittedWork work) {
+    public PromiseCheck(CallerLoad load, RunInvariantChecker audit, SubmittedWork work) {
         this.load = load;
         this.audit = audit;
         this.work = work;
@@ -50,7 +50,7 @@
             }
             int attempts = item.route().maximumAttempts();
             if (item.state() == SubmissionState.FAILED
-                    && audit.mostFailures(tasks(item)) < attempts) {
+                    && audit.maximumFailures(tasks(item)) < attempts) {
                 found.add(id + ": shown as failed before its attempts were used up");
             }
             if (item.state() == SubmissionState.CANCELLED && !item.cancelAsked()) {
@@ -107,7 +107,7 @@
      * @return the number
      */
     private int starts(WorkItem item) {
-        return tasks(item).stream().mapToInt(audit::starts).sum();
+        return tasks(item).stream().mapToInt(audit::startCount).sum();
     }
 
     /**
@@ -117,7 +117,7 @@
      * @return the number
      */
     private int active(WorkItem item) {
-        return tasks(item).stream().mapToInt(audit::active).sum();
+        return tasks(item).stream().mapToInt(audit::activeRunCount).sum();
     }
 
     /**
@@ -127,6 +127,6 @@
      * @return whether each has
      */
     private boolean allDone(WorkItem item) {
-        return audit.done().containsAll(tasks(item));
+        return audit.succeededTasks().containsAll(tasks(item));
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedWork.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/SubmittedWork.java
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public long workMillis(String worker, TaskId task) {
+    public long durationMillis(String worker, TaskId task) {
         StepSpec spec = spec(task);
-        return spec == null || spec.lasting() ? LASTS : spec.estimateMillis();
+        return spec == null || spec.lasting() ? RUNS_UNTIL_STOPPED : spec.estimateMillis();
     }
 
     @Override
-    public EndKind end(String worker, TaskId task) {
+    public EndKind outcome(String worker, TaskId task) {
         return random.nextDouble() < failureChance ? EndKind.FAILED : EndKind.DONE;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -27,7 +27,7 @@
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 import org.damasktiller.table.KindOfWork;
 import org.damasktiller.table.OperatorTable;
 
@@ -71,7 +71,7 @@
     private final LabLoop loop;
 
     /** What the workers ran. */
-    private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
+    private final RunInvariantChecker audit = new RunInvariantChecker(TableManifest.ATTEMPTS);
 
     /** What callers have submitted. */
     private final SubmittedWork work;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -16,9 +16,9 @@
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.RunObserver;
+import org.damasktiller.standin.fleet.SimulatedWorker;
 import org.damasktiller.standin.fleet.TaskBehaviour;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /**
  * A deployment on one machine: the store and the workers are emulated in this process, each behind
@@ -45,7 +45,7 @@
     private final ProcessRuntime runtime;
 
     /** The store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** What becomes of calls to the store. */
     private final SeededFates storeFates;
@@ -79,14 +79,14 @@
             RandomGenerator random) {
         eventloop = loop.eventloop();
         runtime = loop.runtime();
-        store = new StoreModel(runtime);
+        store = new InMemoryStore(runtime);
         storeFates = new SeededFates(random);
         InetSocketAddress storeAddress =
                 LoopbackServer.start(
                         eventloop, new StoreServlet(store, runtime, storeFates, LATE_MILLIS));
         for (int number = 0; number < settings.workers(); number++) {
-            WorkerModel model =
-                    new WorkerModel(
+            SimulatedWorker model =
+                    new SimulatedWorker(
                             String.format("worker-%03d", number),
                             settings.capacity(),
                             runtime,
@@ -145,7 +145,7 @@
      *
      * @return the store
      */
-    public StoreModel store() {
+    public InMemoryStore store() {
         return store;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
@@ -7,8 +7,8 @@
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreTransaction;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.fleet.SimulatedWorker;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /** A worker of a local deployment: its state, its link, its faults and its entry in the store. */
 public final class RigWorker {
@@ -23,7 +23,7 @@
     private final ProcessRuntime runtime;
 
     /** The state. */
-    private final WorkerModel model;
+    private final SimulatedWorker model;
 
     /** The link to it. */
     private final FaultyLink link;
@@ -32,7 +32,7 @@
     private final SeededFates fates;
 
     /** The store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** The availability zone. */
     private final String zone;
@@ -56,10 +56,10 @@
      */
     RigWorker(
             ProcessRuntime runtime,
-            WorkerModel model,
+            SimulatedWorker model,
             FaultyLink link,
             SeededFates fates,
-            StoreModel store,
+            InMemoryStore store,
             RigSettings settings,
             int number) {
         this.runtime = runtime;
@@ -78,7 +78,7 @@
      *
      * @return the state
      */
-    public WorkerModel model() {
+    public SimulatedWorker model() {
         return model;
     }
 
@@ -130,7 +130,7 @@
 
     /** Begins a new life under the same identifier, unless it is alive. */
     public void comeBack() {
-        if (!model.alive()) {
+        if (!model.isAlive()) {
             model.boot();
             link.refuse(false);
             register(false, 0);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/SeededFates.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/SeededFates.java
@@ -3,17 +3,17 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.apache.commons.math3.random.RandomGenerator;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.FatePlan;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultPlan;
 
 /** Draws what becomes of each call; the chances change while a deployment runs. */
-public final class SeededFates implements FatePlan {
+public final class SeededFates implements FaultPlan {
 
     /** Draws. */
     private final RandomGenerator random;
 
     /** The chance of each fate other than an answer, 0 to 1. */
-    private final Map<CallFate, Double> chances = new EnumMap<>(CallFate.class);
+    private final Map<CallFault, Double> chances = new EnumMap<>(CallFault.class);
 
     /**
      * Creates a plan that lets every call be answered.
@@ -30,19 +30,19 @@
      * @param fate the fate
      * @param chance its chance, 0 to 1
      */
-    public void set(CallFate fate, double chance) {
+    public void set(CallFault fate, double chance) {
         chances.put(fate, chance);
     }
 
     @Override
-    public CallFate decide(String call) {
+    public CallFault faultFor(String call) {
         double drawn = random.nextDouble();
-        for (Map.Entry<CallFate, Double> chance : chances.entrySet()) {
+        for (Map.Entry<CallFault, Double> chance : chances.entrySet()) {
             drawn -= chance.getValue();
             if (drawn < 0) {
                 return chance.getKey();
             }
         }
-        return CallFate.ANSWERED;
+        return CallFault.ANSWERED;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FateFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FateFault.java
@@ -1,7 +1,7 @@
 package org.damasktiller.lab.soak;
 
 import org.damasktiller.lab.rig.SeededFates;
-import org.damasktiller.standin.metadata.CallFate;
+import org.damasktiller.standin.metadata.CallFault;
 
 /** Gives some calls of a service another fate than an answer. */
 final class FateFault implements Fault {
@@ -13,7 +13,7 @@
     private final String name;
 
     /** The fate. */
-    private final CallFate fate;
+    private final CallFault fate;
 
     /** The chance of the fate, 0 to 1. */
     private final double chance;
@@ -26,7 +26,7 @@
      * @param fate the fate
      * @param chance the chance of the fate, 0 to 1
      */
-    FateFault(SeededFates fates, String name, CallFate fate, double chance) {
+    FateFault(SeededFates fates, String name, CallFault fate, double chance) {
         this.fates = fates;
         this.name = name;
         this.fate = fate;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultDraw.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultDraw.java
@@ -6,7 +6,7 @@
 import org.damasktiller.lab.rig.Rig;
 import org.damasktiller.lab.rig.RigWorker;
 import org.damasktiller.scheduler.model.Manifest;
-import org.damasktiller.standin.metadata.CallFate;
+import org.damasktiller.standin.metadata.CallFault;
 
 /** Draws faults of every kind. */
 final class FaultDraw {
@@ -26,8 +26,8 @@
     };
 
     /** The fates of a call that harm it. */
-    private static final CallFate[] FATES = {
-        CallFate.REFUSED, CallFate.LOST, CallFate.ANSWER_LOST, CallFate.LATE
+    private static final CallFault[] FATES = {
+        CallFault.REFUSED, CallFault.LOST, CallFault.ANSWER_LOST, CallFault.LATE
     };
 
     /** The signals: a kill, an orderly end, a pause, and a reload. */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -21,7 +21,7 @@
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 
 /**
  * One soak: the programs of the entry VMs run as processes while faults of a seeded plan begin and
@@ -79,7 +79,7 @@
     private final RandomGenerator random;
 
     /** What the workers ran. */
-    private final RunAudit audit = new RunAudit(SoakLoad.ATTEMPTS);
+    private final RunInvariantChecker audit = new RunInvariantChecker(SoakLoad.ATTEMPTS);
 
     /** The deployment. */
     private final Rig rig;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
@@ -1,12 +1,12 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /** The store forgets its history, or lets every lease end unseen. */
 final class StoreFault implements Fault {
 
     /** The store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** Whether leases end, or else the history is forgotten. */
     private final boolean endsLeases;
@@ -17,7 +17,7 @@
      * @param store the store
      * @param endsLeases whether leases end, or else the history is forgotten
      */
-    StoreFault(StoreModel store, boolean endsLeases) {
+    StoreFault(InMemoryStore store, boolean endsLeases) {
         this.store = store;
         this.endsLeases = endsLeases;
     }
@@ -25,7 +25,7 @@
     @Override
     public void begin() {
         if (endsLeases) {
-            store.endLeases();
+            store.revokeAllLeases();
         }
         store.compact();
     }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/load/PromiseCheckTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/load/PromiseCheckTest.java
@@ -20,8 +20,8 @@
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.standin.fleet.RunAudit;
-import org.damasktiller.standin.time.PausedRuntime;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
+import org.damasktiller.standin.time.VirtualTimeRuntime;
 import org.junit.jupiter.api.Test;
 
 /** Tests that each broken promise is found. */
@@ -34,7 +34,7 @@
     private static final Route ROUTE =
             new Route("batch", "team.example", "/batch/", "workers", 1, 3, 2, 600, false);
 
-    private final RunAudit audit = new RunAudit(3);
+    private final RunInvariantChecker audit = new RunInvariantChecker(3);
 
     private final Eventloop eventloop = EventLoops.create();
 
@@ -42,7 +42,7 @@
 
     private final CallerLoad load =
             new CallerLoad(
-                    new PausedRuntime(),
+                    new VirtualTimeRuntime(),
                     new CallerClient(eventloop, 1_000),
                     List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1)),
                     new Well19937c(1),
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -16,8 +16,8 @@
 import org.damasktiller.platform.emulator.OperatorFormats;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.settings.Addresses;
-import org.damasktiller.standin.metadata.FatePlan;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.FaultPlan;
+import org.damasktiller.standin.metadata.InMemoryStore;
 import org.damasktiller.table.EditId;
 import org.damasktiller.table.EditResult;
 import org.damasktiller.table.OperatorTable;
@@ -86,8 +86,8 @@
     }
 
     private InetSocketAddress serve() {
-        StoreModel model = new StoreModel(platform.runtime());
-        StoreServlet servlet = new StoreServlet(model, platform.runtime(), FatePlan.CALM, 0);
+        InMemoryStore model = new InMemoryStore(platform.runtime());
+        StoreServlet servlet = new StoreServlet(model, platform.runtime(), FaultPlan.NO_FAULTS, 0);
         return Addresses.parse(
                 OperatorFormats.text(LoopbackServer.start(platform.eventloop(), servlet)));
     }
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -15,10 +15,10 @@
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.Submission;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.StoreClient;
-import org.damasktiller.standin.metadata.StoreModel;
-import org.damasktiller.standin.time.PausedRuntime;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultInjectingStoreClient;
+import org.damasktiller.standin.metadata.InMemoryStore;
+import org.damasktiller.standin.time.VirtualTimeRuntime;
 import org.junit.jupiter.api.Test;
 
 /** Tests what a caller is told of a submission when the store fails. */
@@ -28,10 +28,10 @@
     private static final String ID = "00000000000000a1";
 
     /** The clock. */
-    private final PausedRuntime runtime = new PausedRuntime();
+    private final VirtualTimeRuntime runtime = new VirtualTimeRuntime();
 
     /** The store. */
-    private final StoreModel store = new StoreModel(runtime);
+    private final InMemoryStore store = new InMemoryStore(runtime);
 
     /** The answers. */
     private final List<CallerAnswer> answers = new ArrayList<>();
@@ -55,13 +55,13 @@
 
     @Test
     void lostAnswerIsSettledByTheSecondWrite() {
-        submit(List.of(CallFate.ANSWER_LOST));
+        submit(List.of(CallFault.ANSWER_LOST));
         assertThat(status(), equalTo(200));
     }
 
     @Test
     void refusedSubmissionIsCertainlyNotStored() {
-        submit(repeat(CallFate.REFUSED));
+        submit(repeat(CallFault.REFUSED));
         assertThat(status(), equalTo(503));
         runtime.advance(20_000);
         assertThat(store.value(CellKeys.submission(ID)), nullValue());
@@ -69,8 +69,8 @@
 
     @Test
     void refusalsAfterAnUnansweredWriteLeaveTheOutcomeUnknown() {
-        List<CallFate> fates = new ArrayList<>(repeat(CallFate.REFUSED));
-        fates.set(0, CallFate.LATE);
+        List<CallFault> fates = new ArrayList<>(repeat(CallFault.REFUSED));
+        fates.set(0, CallFault.LATE);
         submit(fates);
         assertThat(status(), equalTo(504));
         runtime.advance(20_000);
@@ -79,7 +79,7 @@
 
     @Test
     void silentStoreIsNotWaitedForUntilTheDeadline() {
-        submit(repeat(CallFate.LOST));
+        submit(repeat(CallFault.LOST));
         assertThat(status(), equalTo(504));
         assertThat(answeredAtMillis, lessThan(1_700L));
     }
@@ -89,11 +89,11 @@
      *
      * @param fates what becomes of the first calls to the store
      */
-    private void submit(List<CallFate> fates) {
-        Iterator<CallFate> next = fates.iterator();
-        StoreClient client =
-                new StoreClient(
-                        store, runtime, call -> next.hasNext() ? next.next() : CallFate.ANSWERED);
+    private void submit(List<CallFault> fates) {
+        Iterator<CallFault> next = fates.iterator();
+        FaultInjectingStoreClient client =
+                new FaultInjectingStoreClient(
+                        store, runtime, call -> next.hasNext() ? next.next() : CallFault.ANSWERED);
         SubmissionAcceptor acceptor =
                 new SubmissionAcceptor(
                         client,
@@ -147,8 +147,8 @@
      * @param fate the fate
      * @return the list
      */
-    private static List<CallFate> repeat(CallFate fate) {
-        List<CallFate> fates = new ArrayList<>();
+    private static List<CallFault> repeat(CallFault fate) {
+        List<CallFault> fates = new ArrayList<>();
         for (int call = 0; call < 60; call++) {
             fates.add(fate);
         }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunAudit.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/RunInvariantChecker.java
@@ -15,28 +15,28 @@
  * never have two active runs, and it must not start again after its successful end was acknowledged
  * or after as many of its failures were acknowledged as it has attempts.
  */
-public final class RunAudit implements RunObserver {
+public final class RunInvariantChecker implements RunObserver {
 
     /** The number of failures after which a task must not start again. */
-    private final int attempts;
+    private final int maximumAttempts;
 
     /** The number of active runs by task. */
-    private final Map<TaskId, Integer> active = new HashMap<>();
+    private final Map<TaskId, Integer> activeRunCounts = new HashMap<>();
 
     /** The tasks of which at least one run succeeded. */
-    private final Set<TaskId> done = new HashSet<>();
+    private final Set<TaskId> succeededTasks = new HashSet<>();
 
     /** The tasks of which the end of a successful run was acknowledged. */
-    private final Set<TaskId> acknowledgedDone = new HashSet<>();
+    private final Set<TaskId> acknowledgedSuccesses = new HashSet<>();
 
     /** The number of acknowledged failed runs by task. */
-    private final Map<TaskId, Integer> failures = new HashMap<>();
+    private final Map<TaskId, Integer> acknowledgedFailures = new HashMap<>();
 
     /** The number of failed runs by task, acknowledged or not. */
-    private final Map<TaskId, Integer> failedRuns = new HashMap<>();
+    private final Map<TaskId, Integer> failedRunCounts = new HashMap<>();
 
     /** The number of starts by task. */
-    private final Map<TaskId, Integer> starts = new HashMap<>();
+    private final Map<TaskId, Integer> startCounts = new HashMap<>();
 
     /** The violations found so far, one line each. */
     private final List<String> violations = new ArrayList<>();
@@ -44,42 +44,42 @@
     /**
      * Creates a checker.
      *
-     * @param attempts the number of failures after which a task must not start again
+     * @param maximumAttempts the number of failures after which a task must not start again
      */
-    public RunAudit(int attempts) {
-        this.attempts = attempts;
+    public RunInvariantChecker(int maximumAttempts) {
+        this.maximumAttempts = maximumAttempts;
     }
 
     @Override
     public void started(String worker, TaskId task, int run) {
-        starts.merge(task, 1, Integer::sum);
-        if (active.merge(task, 1, Integer::sum) > 1) {
-            violations.add("two active runs of " + task + ", run " + run + " on " + worker);
+        startCounts.merge(task, 1, Integer::sum);
+        if (activeRunCounts.merge(task, 1, Integer::sum) > 1) {
+            violations.add("two runs of " + task + ", run " + run + " on " + worker);
         }
-        if (acknowledgedDone.contains(task)) {
+        if (acknowledgedSuccesses.contains(task)) {
             violations.add("start of " + task + " after its end was acknowledged");
         }
-        if (failures.getOrDefault(task, 0) >= attempts) {
-            violations.add("start of " + task + " after " + attempts + " failed runs");
+        if (acknowledgedFailures.getOrDefault(task, 0) >= maximumAttempts) {
+            violations.add("start of " + task + " after " + maximumAttempts + " failed runs");
         }
     }
 
     @Override
     public void ended(String worker, TaskId task, int run, @Nullable EndKind kind) {
-        active.merge(task, -1, Integer::sum);
+        activeRunCounts.merge(task, -1, Integer::sum);
         if (kind == EndKind.DONE) {
-            done.add(task);
+            succeededTasks.add(task);
         } else if (kind == EndKind.FAILED) {
-            failedRuns.merge(task, 1, Integer::sum);
+            failedRunCounts.merge(task, 1, Integer::sum);
         }
     }
 
     @Override
     public void acknowledged(String worker, TaskId task, int run, EndKind kind) {
         if (kind == EndKind.DONE) {
-            acknowledgedDone.add(task);
+            acknowledgedSuccesses.add(task);
         } else if (kind == EndKind.FAILED) {
-            failures.merge(task, 1, Integer::sum);
+            acknowledgedFailures.merge(task, 1, Integer::sum);
         }
     }
 
@@ -97,8 +97,8 @@
      *
      * @return the tasks
      */
-    public Set<TaskId> done() {
-        return done;
+    public Set<TaskId> succeededTasks() {
+        return succeededTasks;
     }
 
     /**
@@ -107,8 +107,8 @@
      * @param task the task
      * @return the number of started runs
      */
-    public int starts(TaskId task) {
-        return starts.getOrDefault(task, 0);
+    public int startCount(TaskId task) {
+        return startCounts.getOrDefault(task, 0);
     }
 
     /**
@@ -117,8 +117,11 @@
      * @param tasks the tasks
      * @return the highest number, acknowledged or not; 0 if no run failed
      */
-    public int mostFailures(List<TaskId> tasks) {
-        return tasks.stream().mapToInt(task -> failedRuns.getOrDefault(task, 0)).max().orElse(0);
+    public int maximumFailures(List<TaskId> tasks) {
+        return tasks.stream()
+                .mapToInt(task -> failedRunCounts.getOrDefault(task, 0))
+                .max()
+                .orElse(0);
     }
 
     /**
@@ -127,7 +130,7 @@
      * @param task the task
      * @return the number of runs that have started and not ended
      */
-    public int active(TaskId task) {
-        return active.getOrDefault(task, 0);
+    public int activeRunCount(TaskId task) {
+        return activeRunCounts.getOrDefault(task, 0);
     }
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/WorkerModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/SimulatedWorker.java
@@ -23,13 +23,13 @@
  * lease, the active runs and the ended runs that have not been acknowledged. Calls take effect
  * immediately and in the order in which they are made. Restarting the worker clears this state.
  */
-public final class WorkerModel {
+public final class SimulatedWorker {
 
     /** The time that a run needs to stop, in milliseconds. */
-    private static final long STOP_MILLIS = 200;
+    private static final long STOP_DURATION_MILLIS = 200;
 
     /** The maximum duration of a lease, in milliseconds; longer requests are shortened to it. */
-    private static final long LONGEST_LEASE_MILLIS = 6_000;
+    private static final long MAX_LEASE_MILLIS = 6_000;
 
     /** The progress of a run that has done all of its work, in percent. */
     private static final long FULL_PERCENT = 100;
@@ -50,28 +50,28 @@
     private final RunObserver observer;
 
     /** The active runs by task, in the order in which they started. */
-    private final Map<TaskId, Active> active = new LinkedHashMap<>();
+    private final Map<TaskId, SimulatedRun> active = new LinkedHashMap<>();
 
     /** The highest number of a stopped or ended run by task; starts of lower runs are refused. */
-    private final Map<TaskId, Integer> highest = new HashMap<>();
+    private final Map<TaskId, Integer> highestEndedRun = new HashMap<>();
 
     /** The ended runs that have not been acknowledged, in the order of their sequence numbers. */
-    private final List<EndedRun> ends = new ArrayList<>();
+    private final List<EndedRun> endedRuns = new ArrayList<>();
 
     /** Whether the worker is running; false after a crash until it boots again. */
     private boolean alive;
 
     /** The sequence number of the run that ended last, 0 if none ended since the worker booted. */
-    private long lastEnd;
+    private long lastEndSequence;
 
     /** The highest fencing token that a call has carried since the worker booted. */
-    private long token;
+    private long highestToken;
 
     /** When the lease expires on the worker's clock, in milliseconds. */
     private long leaseEndMillis;
 
     /** When the worker booted on the monotonic clock, in milliseconds. */
-    private long bootMillis;
+    private long bootedMillis;
 
     /** When the worker booted, in milliseconds since 1970. */
     private long bootUnixMillis;
@@ -85,7 +85,7 @@
      * @param behaviour determines the resources, the duration and the outcome of runs
      * @param observer notified of each start, end and acknowledgement of a run
      */
-    public WorkerModel(
+    public SimulatedWorker(
             String id,
             Resources capacity,
             ProcessRuntime runtime,
@@ -102,8 +102,8 @@
     /** Crashes the worker. All active runs end without being reported to the scheduler. */
     public void crash() {
         alive = false;
-        for (Active run : new ArrayList<>(active.values())) {
-            run.over = true;
+        for (SimulatedRun run : new ArrayList<>(active.values())) {
+            run.hasEnded = true;
             observer.ended(id, run.task, run.number, null);
         }
         active.clear();
@@ -113,12 +113,12 @@
     public void boot() {
         crash();
         alive = true;
-        highest.clear();
-        ends.clear();
-        lastEnd = 0;
-        token = 0;
+        highestEndedRun.clear();
+        endedRuns.clear();
+        lastEndSequence = 0;
+        highestToken = 0;
         leaseEndMillis = 0;
-        bootMillis = runtime.nowMillis();
+        bootedMillis = runtime.nowMillis();
         bootUnixMillis = runtime.unixMillis();
     }
 
@@ -127,7 +127,7 @@
      *
      * @return true if it is, false if it has crashed and not booted again
      */
-    public boolean alive() {
+    public boolean isAlive() {
         return alive;
     }
 
@@ -163,42 +163,43 @@
      *
      * @return the number of runs that have started and not ended
      */
-    public int activeRuns() {
+    public int activeRunCount() {
         return active.size();
     }
 
     /**
      * Starts a run and extends the lease. Repeating the call for an active run has no effect.
      *
-     * @param order the run to start
+     * @param request the run to start
      * @return the reply, without an inventory
      */
-    public WorkerReply start(StartRequest order) {
-        if (order.fencingToken() < token) {
+    public WorkerReply start(StartRequest request) {
+        if (request.fencingToken() < highestToken) {
             return reply(WorkerStatus.FENCED);
         }
-        token = order.fencingToken();
-        Active running = active.get(order.task());
-        if (running != null && running.number == order.run()) {
+        highestToken = request.fencingToken();
+        SimulatedRun running = active.get(request.task());
+        if (running != null && running.number == request.run()) {
             return reply(WorkerStatus.OK);
         }
-        if (order.leaseUntilMillis() <= clock()) {
+        if (request.leaseUntilMillis() <= clockMillis()) {
             return reply(WorkerStatus.EXPIRED);
         }
-        lengthen(order.leaseUntilMillis());
-        if (running != null || order.run() <= highest.getOrDefault(order.task(), 0)) {
+        extendLease(request.leaseUntilMillis());
+        if (running != null || request.run() <= highestEndedRun.getOrDefault(request.task(), 0)) {
             return reply(WorkerStatus.OLD_RUN);
         }
-        Resources need = behaviour.reserved(order.task());
-        if (!capacity.minus(used()).covers(need)) {
+        Resources reserved = behaviour.reserved(request.task());
+        if (!capacity.minus(reservedResources()).covers(reserved)) {
             return reply(WorkerStatus.NO_ROOM);
         }
-        Active run = new Active(order.task(), order.run(), need, runtime.nowMillis());
-        active.put(order.task(), run);
-        observer.started(id, order.task(), order.run());
-        long work = behaviour.workMillis(id, order.task());
-        if (work != TaskBehaviour.LASTS) {
-            runtime.schedule(work, () -> end(run, behaviour.end(id, order.task())));
+        SimulatedRun run =
+                new SimulatedRun(request.task(), request.run(), reserved, runtime.nowMillis());
+        active.put(request.task(), run);
+        observer.started(id, request.task(), request.run());
+        long duration = behaviour.durationMillis(id, request.task());
+        if (duration != TaskBehaviour.RUNS_UNTIL_STOPPED) {
+            runtime.schedule(duration, () -> end(run, behaviour.outcome(id, request.task())));
         }
         return reply(WorkerStatus.OK);
     }
@@ -212,14 +213,14 @@
      * @return the reply, without an inventory
      */
     public WorkerReply stop(TaskId task, int run, long fencingToken) {
-        if (fencingToken < token) {
+        if (fencingToken < highestToken) {
             return reply(WorkerStatus.FENCED);
         }
-        token = fencingToken;
-        highest.merge(task, run, Math::max);
-        Active running = active.get(task);
+        highestToken = fencingToken;
+        highestEndedRun.merge(task, run, Math::max);
+        SimulatedRun running = active.get(task);
         if (running != null && running.number <= run) {
-            runtime.schedule(STOP_MILLIS, () -> end(running, EndKind.STOPPED));
+            runtime.schedule(STOP_DURATION_MILLIS, () -> end(running, EndKind.STOPPED));
         }
         return reply(WorkerStatus.OK);
     }
@@ -227,29 +228,33 @@
     /**
      * Extends the lease, discards the acknowledged ended runs and lists the remaining runs.
      *
-     * @param order the lease and the acknowledgement
+     * @param request the lease and the acknowledgement
      * @return the reply, with the inventory unless the call is fenced
      */
-    public WorkerReply heartbeat(HeartbeatRequest order) {
-        if (order.fencingToken() < token) {
+    public WorkerReply heartbeat(HeartbeatRequest request) {
+        if (request.fencingToken() < highestToken) {
             return reply(WorkerStatus.FENCED);
         }
-        token = order.fencingToken();
-        if (order.leaseUntilMillis() != WorkerClient.LEASE_UNCHANGED) {
-            lengthen(order.leaseUntilMillis());
+        highestToken = request.fencingToken();
+        if (request.leaseUntilMillis() != WorkerClient.LEASE_UNCHANGED) {
+            extendLease(request.leaseUntilMillis());
         }
-        for (EndedRun end : ends) {
-            if (end.sequence() <= order.acknowledgedSequence()) {
+        for (EndedRun end : endedRuns) {
+            if (end.sequence() <= request.acknowledgedSequence()) {
                 observer.acknowledged(id, end.task(), end.run(), end.kind());
             }
         }
-        ends.removeIf(end -> end.sequence() <= order.acknowledgedSequence());
+        endedRuns.removeIf(end -> end.sequence() <= request.acknowledgedSequence());
         List<ActiveRun> running = new ArrayList<>();
-        for (Active run : active.values()) {
+        for (SimulatedRun run : active.values()) {
             running.add(new ActiveRun(run.task, run.number, "", progress(run), 0));
         }
         return new WorkerReply(
-                WorkerStatus.OK, clock(), bootUnixMillis, new Inventory(running, ends), "");
+                WorkerStatus.OK,
+                clockMillis(),
+                bootUnixMillis,
+                new Inventory(running, endedRuns),
+                "");
     }
 
     /**
@@ -257,8 +262,8 @@
      *
      * @return true if there is at least one
      */
-    public boolean hasEnds() {
-        return !ends.isEmpty();
+    public boolean hasUnacknowledgedEnds() {
+        return !endedRuns.isEmpty();
     }
 
     /**
@@ -268,7 +273,7 @@
      * @return the reply, without an inventory
      */
     public WorkerReply throttle(long fencingToken) {
-        return reply(fencingToken < token ? WorkerStatus.FENCED : WorkerStatus.OK);
+        return reply(fencingToken < highestToken ? WorkerStatus.FENCED : WorkerStatus.OK);
     }
 
     /**
@@ -277,12 +282,12 @@
      * @param run the run
      * @return the progress, in percent: less than 100 for a run that ends by itself, 100 for others
      */
-    private int progress(Active run) {
-        long work = behaviour.workMillis(id, run.task);
-        long done = runtime.nowMillis() - run.sinceMillis;
-        return work == TaskBehaviour.LASTS
+    private int progress(SimulatedRun run) {
+        long duration = behaviour.durationMillis(id, run.task);
+        long done = runtime.nowMillis() - run.startedMillis;
+        return duration == TaskBehaviour.RUNS_UNTIL_STOPPED
                 ? (int) FULL_PERCENT
-                : (int) Math.min(FULL_PERCENT - 1, FULL_PERCENT * done / Math.max(1, work));
+                : (int) Math.min(FULL_PERCENT - 1, FULL_PERCENT * done / Math.max(1, duration));
     }
 
     /**
@@ -290,18 +295,18 @@
      *
      * @param untilMillis the requested end of the lease on the worker's clock, in milliseconds
      */
-    private void lengthen(long untilMillis) {
-        long bounded = Math.min(untilMillis, clock() + LONGEST_LEASE_MILLIS);
-        if (bounded > leaseEndMillis) {
-            leaseEndMillis = bounded;
-            runtime.schedule(bounded - clock() + 1, this::lapse);
+    private void extendLease(long untilMillis) {
+        long leaseEnd = Math.min(untilMillis, clockMillis() + MAX_LEASE_MILLIS);
+        if (leaseEnd > leaseEndMillis) {
+            leaseEndMillis = leaseEnd;
+            runtime.schedule(leaseEnd - clockMillis() + 1, this::endRunsIfLeaseExpired);
         }
     }
 
     /** Ends all active runs if the lease has expired. */
-    private void lapse() {
-        if (clock() >= leaseEndMillis) {
-            for (Active run : new ArrayList<>(active.values())) {
+    private void endRunsIfLeaseExpired() {
+        if (clockMillis() >= leaseEndMillis) {
+            for (SimulatedRun run : new ArrayList<>(active.values())) {
                 end(run, EndKind.LAPSED);
             }
         }
@@ -313,15 +318,15 @@
      * @param run the run
      * @param kind why the run ended
      */
-    private void end(Active run, EndKind kind) {
-        if (run.over) {
+    private void end(SimulatedRun run, EndKind kind) {
+        if (run.hasEnded) {
             return;
         }
-        run.over = true;
+        run.hasEnded = true;
         active.remove(run.task);
-        highest.merge(run.task, run.number, Math::max);
-        lastEnd++;
-        ends.add(new EndedRun(lastEnd, run.task, run.number, kind, ""));
+        highestEndedRun.merge(run.task, run.number, Math::max);
+        lastEndSequence++;
+        endedRuns.add(new EndedRun(lastEndSequence, run.task, run.number, kind, ""));
         observer.ended(id, run.task, run.number, kind);
     }
 
@@ -330,10 +335,10 @@
      *
      * @return the sum over all active runs
      */
-    private Resources used() {
+    private Resources reservedResources() {
         Resources sum = Resources.NONE;
-        for (Active run : active.values()) {
-            sum = sum.plus(run.need);
+        for (SimulatedRun run : active.values()) {
+            sum = sum.plus(run.reserved);
         }
         return sum;
     }
@@ -343,8 +348,8 @@
      *
      * @return the time since the boot, in milliseconds
      */
-    private long clock() {
-        return runtime.nowMillis() - bootMillis;
+    private long clockMillis() {
+        return runtime.nowMillis() - bootedMillis;
     }
 
     /**
@@ -354,11 +359,11 @@
      * @return the reply
      */
     private WorkerReply reply(WorkerStatus status) {
-        return new WorkerReply(status, clock(), bootUnixMillis, null, status.name());
+        return new WorkerReply(status, clockMillis(), bootUnixMillis, null, status.name());
     }
 
     /** A run that the worker executes. */
-    private static final class Active {
+    private static final class SimulatedRun {
 
         /** The task. */
         private final TaskId task;
@@ -367,27 +372,27 @@
         private final int number;
 
         /** The resources that the run reserves. */
-        private final Resources need;
+        private final Resources reserved;
 
         /** When the run started on the monotonic clock, in milliseconds. */
-        private final long sinceMillis;
+        private final long startedMillis;
 
         /** Whether the run has ended, so that scheduled events must ignore it. */
-        private boolean over;
+        private boolean hasEnded;
 
         /**
          * Creates an active run.
          *
          * @param task the task
          * @param number the number of the run among the runs of the task
-         * @param need the resources that the run reserves
-         * @param sinceMillis when the run started on the monotonic clock, in milliseconds
+         * @param reserved the resources that the run reserves
+         * @param startedMillis when the run started on the monotonic clock, in milliseconds
          */
-        Active(TaskId task, int number, Resources need, long sinceMillis) {
+        SimulatedRun(TaskId task, int number, Resources reserved, long startedMillis) {
             this.task = task;
             this.number = number;
-            this.need = need;
-            this.sinceMillis = sinceMillis;
+            this.reserved = reserved;
+            this.startedMillis = startedMillis;
         }
     }
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/TaskBehaviour.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/TaskBehaviour.java
@@ -8,7 +8,7 @@
 public interface TaskBehaviour {
 
     /** The duration of a task that runs until it is stopped. */
-    long LASTS = -1;
+    long RUNS_UNTIL_STOPPED = -1;
 
     /**
      * Returns the resources that a run of a task reserves on its worker.
@@ -23,9 +23,9 @@
      *
      * @param worker the identifier of the worker
      * @param task the task
-     * @return the duration, in milliseconds, or {@link #LASTS}
+     * @return the duration, in milliseconds, or {@link #RUNS_UNTIL_STOPPED}
      */
-    long workMillis(String worker, TaskId task);
+    long durationMillis(String worker, TaskId task);
 
     /**
      * Returns the outcome of a run that is not stopped.
@@ -34,5 +34,5 @@
      * @param task the task
      * @return why the run ends
      */
-    EndKind end(String worker, TaskId task);
+    EndKind outcome(String worker, TaskId task);
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/CallFate.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/CallFault.java
@@ -1,7 +1,7 @@
 package org.damasktiller.standin.metadata;
 
 /** The fault that affects a simulated call. */
-public enum CallFate {
+public enum CallFault {
     /** No fault: the call is executed and answered. */
     ANSWERED,
     /** The call is refused and not executed. */
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FaultInjectingStoreClient.java
@@ -14,72 +14,73 @@
 import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
- * The connection of one process to a {@link StoreModel}. Calls take time, and a plan decides which
- * of them fail and how.
+ * The connection of one process to a {@link InMemoryStore}. Calls take time, and a plan decides
+ * which of them fail and how.
  */
-public final class StoreClient implements MetadataStore {
+public final class FaultInjectingStoreClient implements MetadataStore {
 
     /** The network latency in each direction, in milliseconds. */
-    private static final long ONE_WAY_MILLIS = 2;
+    private static final long ONE_WAY_LATENCY_MILLIS = 2;
 
     /** The additional time that the answer to a listing takes, in milliseconds. */
-    private static final long PAGE_MILLIS = 12;
+    private static final long LISTING_DELAY_MILLIS = 12;
 
     /** The time after which a call without an answer fails, in milliseconds. */
     private static final long TIMEOUT_MILLIS = 1_000;
 
     /** The delay after which a late call is executed, in milliseconds. */
-    private static final long LATE_MILLIS = 3_000;
+    private static final long LATE_CALL_DELAY_MILLIS = 3_000;
 
     /** The interval at which a watch checks for changes, in milliseconds. */
-    private static final long POLL_MILLIS = 5;
+    private static final long POLL_INTERVAL_MILLIS = 5;
 
     /** The store. */
-    private final StoreModel model;
+    private final InMemoryStore store;
 
     /** The clock and timers of the process. */
     private final ProcessRuntime runtime;
 
     /** Decides which calls fail and how. */
-    private final FatePlan fates;
+    private final FaultPlan faults;
 
     /** Whether the process was killed: it sends no further calls and receives no answers. */
-    private boolean dead;
+    private boolean killed;
 
     /**
      * Creates the connection of a process.
      *
-     * @param model the store
+     * @param store the store
      * @param runtime the clock and timers of the process
-     * @param fates decides which calls fail and how
+     * @param faults decides which calls fail and how
      */
-    public StoreClient(StoreModel model, ProcessRuntime runtime, FatePlan fates) {
-        this.model = model;
+    public FaultInjectingStoreClient(
+            InMemoryStore store, ProcessRuntime runtime, FaultPlan faults) {
+        this.store = store;
         this.runtime = runtime;
-        this.fates = fates;
+        this.faults = faults;
     }
 
     /** Kills the process: it sends no further calls and receives no answers. */
     public void kill() {
-        dead = true;
+        killed = true;
     }
 
     @Override
-    public void read(String key, Consumer<StoreResult<StoreReading>> answer) {
-        call("read", () -> model.read(key), answer);
+    public void read(String key, Consumer<StoreResult<StoreReading>> callback) {
+        call("read", () -> store.read(key), callback);
     }
 
     @Override
-    public void list(String prefix, String after, Consumer<StoreResult<StorePage>> answer) {
+    public void list(String prefix, String after, Consumer<StoreResult<StorePage>> callback) {
         call(
                 "list",
-                () -> StoreResult.ok(model.list(prefix, after)),
+                () -> StoreResult.ok(store.list(prefix, after)),
                 result ->
                         runtime.schedule(
-                                PAGE_MILLIS,
+                                LISTING_DELAY_MILLIS,
                                 () -> {
-                                    if (!dead) {
-                                        answer.accept(result);
+                                    if (!killed) {
+                                        callback.accept(result);
                                     }
                                 }));
     }
@@ -89,45 +90,45 @@
             String prefix,
             long afterRevision,
             long waitMillis,
-            Consumer<StoreResult<StoreChanges>> answer) {
-        long latest = runtime.nowMillis() + waitMillis;
-        if (fates.decide("watch " + prefix) == CallFate.ANSWERED) {
-            poll(prefix, afterRevision, latest, answer);
-        } else if (!dead) {
-            timeOut(answer);
+            Consumer<StoreResult<StoreChanges>> callback) {
+        long deadlineMillis = runtime.nowMillis() + waitMillis;
+        if (faults.faultFor("watch " + prefix) == CallFault.ANSWERED) {
+            awaitChanges(prefix, afterRevision, deadlineMillis, callback);
+        } else if (!killed) {
+            failAfterTimeout(callback);
         }
     }
 
     @Override
-    public void commit(StoreTransaction commit, Consumer<StoreResult<CommitReply>> answer) {
-        call("commit", () -> model.commit(commit), answer);
+    public void commit(StoreTransaction transaction, Consumer<StoreResult<CommitReply>> callback) {
+        call("commit", () -> store.commit(transaction), callback);
     }
 
     @Override
-    public void grantLease(long ttlMillis, Consumer<StoreResult<StoreLease>> answer) {
-        call("grant", () -> StoreResult.ok(model.grant(ttlMillis)), answer);
+    public void grantLease(long ttlMillis, Consumer<StoreResult<StoreLease>> callback) {
+        call("grant", () -> StoreResult.ok(store.grantLease(ttlMillis)), callback);
     }
 
     @Override
-    public void renewLease(long lease, Consumer<StoreResult<Boolean>> answer) {
+    public void renewLease(long lease, Consumer<StoreResult<Boolean>> callback) {
         call(
                 "keep",
                 () ->
-                        model.keep(lease)
+                        store.renewLease(lease)
                                 ? StoreResult.ok(true)
                                 : StoreResult.failed(StoreStatus.ABSENT, "lease has ended"),
-                answer);
+                callback);
     }
 
     @Override
-    public void revokeLease(long lease, Consumer<StoreResult<Boolean>> answer) {
+    public void revokeLease(long lease, Consumer<StoreResult<Boolean>> callback) {
         call(
                 "end",
                 () -> {
-                    model.end(lease);
+                    store.revokeLease(lease);
                     return StoreResult.ok(true);
                 },
-                answer);
+                callback);
     }
 
     /**
@@ -135,23 +136,25 @@
      *
      * @param prefix the prefix of the keys
      * @param after the revision after which changes are reported
-     * @param latestMillis when to stop waiting, in milliseconds
-     * @param answer receives the changes
+     * @param deadlineMillis when to stop waiting, in milliseconds
+     * @param callback receives the changes
      */
-    private void poll(
+    private void awaitChanges(
             String prefix,
             long after,
-            long latestMillis,
-            Consumer<StoreResult<StoreChanges>> answer) {
-        if (dead) {
+            long deadlineMillis,
+            Consumer<StoreResult<StoreChanges>> callback) {
+        if (killed) {
             return;
         }
-        StoreResult<StoreChanges> found = model.changes(prefix, after);
+        StoreResult<StoreChanges> found = store.changes(prefix, after);
         boolean empty = found.status() == StoreStatus.OK && found.require().events().isEmpty();
-        if (empty && runtime.nowMillis() < latestMillis) {
-            runtime.schedule(POLL_MILLIS, () -> poll(prefix, after, latestMillis, answer));
+        if (empty && runtime.nowMillis() < deadlineMillis) {
+            runtime.schedule(
+                    POLL_INTERVAL_MILLIS,
+                    () -> awaitChanges(prefix, after, deadlineMillis, callback));
         } else {
-            deliver(found, answer);
+            deliver(found, callback);
         }
     }
 
@@ -159,34 +162,36 @@
      * Makes a call, with the fault that the plan decides for it.
      *
      * @param name the kind of the call, by which the plan decides
-     * @param effect executes the call on the store
-     * @param answer receives the result
+     * @param operation executes the call on the store
+     * @param callback receives the result
      * @param <T> the type of the returned value
      */
     private <T> void call(
-            String name, Supplier<StoreResult<T>> effect, Consumer<StoreResult<T>> answer) {
-        if (dead) {
+            String name, Supplier<StoreResult<T>> operation, Consumer<StoreResult<T>> callback) {
+        if (killed) {
             return;
         }
-        switch (fates.decide(name)) {
-            case ANSWERED -> runtime.schedule(ONE_WAY_MILLIS, () -> deliver(effect.get(), answer));
-            case REFUSED -> deliver(StoreResult.failed(StoreStatus.REFUSED, "refused"), answer);
-            case LOST -> timeOut(answer);
+        switch (faults.faultFor(name)) {
+            case ANSWERED ->
+                    runtime.schedule(
+                            ONE_WAY_LATENCY_MILLIS, () -> deliver(operation.get(), callback));
+            case REFUSED -> deliver(StoreResult.failed(StoreStatus.REFUSED, "refused"), callback);
+            case LOST -> failAfterTimeout(callback);
             case ANSWER_LOST -> {
                 runtime.schedule(
-                        ONE_WAY_MILLIS,
+                        ONE_WAY_LATENCY_MILLIS,
                         () -> {
-                            StoreResult<T> unused = effect.get();
+                            StoreResult<T> unused = operation.get();
                         });
-                timeOut(answer);
+                failAfterTimeout(callback);
             }
             default -> {
                 runtime.schedule(
-                        LATE_MILLIS,
+                        LATE_CALL_DELAY_MILLIS,
                         () -> {
-                            StoreResult<T> unused = effect.get();
+                            StoreResult<T> unused = operation.get();
                         });
-                timeOut(answer);
+                failAfterTimeout(callback);
             }
         }
     }
@@ -194,28 +199,28 @@
     /**
      * Fails a call with status UNKNOWN after the timeout.
      *
-     * @param answer receives the result
+     * @param callback receives the result
      * @param <T> the type of the value that a successful call returns
      */
-    private <T> void timeOut(Consumer<StoreResult<T>> answer) {
+    private <T> void failAfterTimeout(Consumer<StoreResult<T>> callback) {
         runtime.schedule(
                 TIMEOUT_MILLIS,
-                () -> deliver(StoreResult.failed(StoreStatus.UNKNOWN, "no answer"), answer));
+                () -> deliver(StoreResult.failed(StoreStatus.UNKNOWN, "no answer"), callback));
     }
 
     /**
      * Delivers a result after the network latency, unless the process is killed before it arrives.
      *
      * @param result the result
-     * @param answer receives the result
+     * @param callback receives the result
      * @param <T> the type of the returned value
      */
-    private <T> void deliver(StoreResult<T> result, Consumer<StoreResult<T>> answer) {
+    private <T> void deliver(StoreResult<T> result, Consumer<StoreResult<T>> callback) {
         runtime.schedule(
-                ONE_WAY_MILLIS,
+                ONE_WAY_LATENCY_MILLIS,
                 () -> {
-                    if (!dead) {
-                        answer.accept(result);
+                    if (!killed) {
+                        callback.accept(result);
                     }
                 });
     }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FatePlan.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FaultPlan.java
@@ -2,10 +2,10 @@
 
 /** Decides which fault affects each simulated call. */
 @FunctionalInterface
-public interface FatePlan {
+public interface FaultPlan {
 
     /** The plan without faults: each call is executed and answered. */
-    FatePlan CALM = call -> CallFate.ANSWERED;
+    FaultPlan NO_FAULTS = call -> CallFault.ANSWERED;
 
     /**
      * Decides which fault affects a call. Invoked once for each call, so that a plan may count.
@@ -14,5 +14,5 @@
      *     {@code watch} followed by a space and the prefix
      * @return the fault
      */
-    CallFate decide(String call);
+    CallFault faultFor(String call);
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/StoreModel.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/InMemoryStore.java
@@ -22,10 +22,10 @@
  * An in-memory store with the items, leases and history of changes of the platform's store. Calls
  * take effect immediately and in the order in which they are made.
  */
-public final class StoreModel {
+public final class InMemoryStore {
 
     /** The maximum number of items on a page of a listing. */
-    private static final int PAGE_ITEMS = 500;
+    private static final int MAX_PAGE_ITEM_COUNT = 500;
 
     /** The clock and timers by which leases expire. */
     private final ProcessRuntime runtime;
@@ -34,7 +34,7 @@
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
 
     /** The identifiers of the leases by key, for the keys that are bound to a lease. */
-    private final Map<String, Long> keyLeases = new HashMap<>();
+    private final Map<String, Long> leaseIdByKey = new HashMap<>();
 
     /** The active leases by identifier. */
     private final Map<Long, Lease> leases = new TreeMap<>();
@@ -52,14 +52,14 @@
     private long compactedRevision;
 
     /** The identifier of the lease that was created last. */
-    private long lastLease;
+    private long lastLeaseId;
 
     /**
      * Creates an empty store.
      *
      * @param runtime the clock and timers by which leases expire
      */
-    public StoreModel(ProcessRuntime runtime) {
+    public InMemoryStore(ProcessRuntime runtime) {
         this.runtime = runtime;
     }
 
@@ -68,7 +68,7 @@
      *
      * @param listener the action
      */
-    public void onChange(Runnable listener) {
+    public void addChangeListener(Runnable listener) {
         listeners.add(listener);
     }
 
@@ -85,7 +85,7 @@
      * @return the item with the current revision, ABSENT if the key does not exist
      */
     public StoreResult<StoreReading> read(String key) {
-        expire();
+        revokeExpiredLeases();
         StoreItem item = items.get(key);
         return item == null
                 ? StoreResult.failed(StoreStatus.ABSENT, "no such key")
@@ -96,40 +96,40 @@
      * Reads a page of the items whose keys have a prefix.
      *
      * @param prefix the prefix of the keys
-     * @param after the last key of the previous page, empty for the first page
+     * @param afterKey the last key of the previous page, empty for the first page
      * @return the page
      */
-    public StorePage list(String prefix, String after) {
-        expire();
+    public StorePage list(String prefix, String afterKey) {
+        revokeExpiredLeases();
         List<StoreItem> page = new ArrayList<>();
-        for (StoreItem item : items.tailMap(after.isEmpty() ? prefix : after).values()) {
-            if (!item.key().startsWith(prefix) || page.size() > PAGE_ITEMS) {
+        for (StoreItem item : items.tailMap(afterKey.isEmpty() ? prefix : afterKey).values()) {
+            if (!item.key().startsWith(prefix) || page.size() > MAX_PAGE_ITEM_COUNT) {
                 break;
             }
-            if (!item.key().equals(after)) {
+            if (!item.key().equals(afterKey)) {
                 page.add(item);
             }
         }
-        boolean more = page.size() > PAGE_ITEMS;
-        return new StorePage(more ? page.subList(0, PAGE_ITEMS) : page, more, revision);
+        boolean more = page.size() > MAX_PAGE_ITEM_COUNT;
+        return new StorePage(more ? page.subList(0, MAX_PAGE_ITEM_COUNT) : page, more, revision);
     }
 
     /**
      * Returns the changes after a revision.
      *
      * @param prefix the prefix of the keys
-     * @param after the revision after which changes are returned
+     * @param afterRevision the revision after which changes are returned
      * @return the changes, COMPACTED if the history since the revision was discarded
      */
-    public StoreResult<StoreChanges> changes(String prefix, long after) {
-        expire();
-        if (after < compactedRevision) {
+    public StoreResult<StoreChanges> changes(String prefix, long afterRevision) {
+        revokeExpiredLeases();
+        if (afterRevision < compactedRevision) {
             return StoreResult.failed(
                     StoreStatus.COMPACTED, "the history since that revision was discarded");
         }
         List<StoreEvent> found = new ArrayList<>();
         for (StoreEvent event : history) {
-            if (event.revision() > after && event.key().startsWith(prefix)) {
+            if (event.revision() > afterRevision && event.key().startsWith(prefix)) {
                 found.add(event);
             }
         }
@@ -139,34 +139,34 @@
     /**
      * Executes a transaction.
      *
-     * @param commit the transaction
+     * @param transaction the transaction
      * @return the new revision, CONFLICT with the current items if a condition does not hold, or
      *     ABSENT if a lease does not exist
      */
-    public StoreResult<CommitReply> commit(StoreTransaction commit) {
-        expire();
+    public StoreResult<CommitReply> commit(StoreTransaction transaction) {
+        revokeExpiredLeases();
         List<StoreItem> current = new ArrayList<>();
-        boolean holds = true;
-        for (Map.Entry<String, Long> condition : commit.expectedRevisions().entrySet()) {
+        boolean conditionsHold = true;
+        for (Map.Entry<String, Long> condition : transaction.expectedRevisions().entrySet()) {
             StoreItem item = items.get(condition.getKey());
             long actual = item == null ? StoreItem.ABSENT : item.revision();
-            holds &= actual == condition.getValue();
+            conditionsHold &= actual == condition.getValue();
             if (item != null) {
                 current.add(item);
             }
         }
-        if (!holds) {
+        if (!conditionsHold) {
             return new StoreResult<>(
                     StoreStatus.CONFLICT, new CommitReply(0, current), "a condition failed");
         }
-        for (StoreTransaction.Write write : commit.writes().values()) {
+        for (StoreTransaction.Write write : transaction.writes().values()) {
             if (write.lease() != 0 && !leases.containsKey(write.lease())) {
                 return StoreResult.failed(StoreStatus.ABSENT, "no such lease");
             }
         }
         revision++;
-        commit.writes().forEach(this::put);
-        commit.removals().forEach(this::remove);
+        transaction.writes().forEach(this::put);
+        transaction.removals().forEach(this::remove);
         listeners.forEach(Runnable::run);
         return StoreResult.ok(new CommitReply(revision, List.of()));
     }
@@ -177,11 +177,11 @@
      * @param ttlMillis the time to live, in milliseconds
      * @return the lease
      */
-    public StoreLease grant(long ttlMillis) {
-        lastLease++;
-        leases.put(lastLease, new Lease(ttlMillis, runtime.nowMillis() + ttlMillis));
-        runtime.schedule(ttlMillis + 1, this::expire);
-        return new StoreLease(lastLease, ttlMillis);
+    public StoreLease grantLease(long ttlMillis) {
+        lastLeaseId++;
+        leases.put(lastLeaseId, new Lease(ttlMillis, runtime.nowMillis() + ttlMillis));
+        runtime.schedule(ttlMillis + 1, this::revokeExpiredLeases);
+        return new StoreLease(lastLeaseId, ttlMillis);
     }
 
     /**
@@ -190,14 +190,14 @@
      * @param id the identifier of the lease
      * @return true if the lease was renewed, false if it does not exist or has expired
      */
-    public boolean keep(long id) {
-        expire();
+    public boolean renewLease(long id) {
+        revokeExpiredLeases();
         Lease lease = leases.get(id);
         if (lease == null) {
             return false;
         }
         leases.put(id, new Lease(lease.ttlMillis(), runtime.nowMillis() + lease.ttlMillis()));
-        runtime.schedule(lease.ttlMillis() + 1, this::expire);
+        runtime.schedule(lease.ttlMillis() + 1, this::revokeExpiredLeases);
         return true;
     }
 
@@ -206,37 +206,37 @@
      *
      * @param id the identifier of the lease; unknown identifiers are ignored
      */
-    public void end(long id) {
+    public void revokeLease(long id) {
         leases.remove(id);
-        List<String> gone = new ArrayList<>();
-        keyLeases.forEach(
+        List<String> boundKeys = new ArrayList<>();
+        leaseIdByKey.forEach(
                 (key, lease) -> {
                     if (lease == id) {
-                        gone.add(key);
+                        boundKeys.add(key);
                     }
                 });
-        if (!gone.isEmpty()) {
+        if (!boundKeys.isEmpty()) {
             revision++;
-            gone.forEach(this::remove);
+            boundKeys.forEach(this::remove);
             listeners.forEach(Runnable::run);
         }
     }
 
     /** Ends all leases, as a store may do after an outage. */
-    public void endLeases() {
-        new ArrayList<>(leases.keySet()).forEach(this::end);
+    public void revokeAllLeases() {
+        new ArrayList<>(leases.keySet()).forEach(this::revokeLease);
     }
 
     /** Ends the leases that have expired. */
-    private void expire() {
-        List<Long> over = new ArrayList<>();
+    private void revokeExpiredLeases() {
+        List<Long> expired = new ArrayList<>();
         leases.forEach(
                 (id, lease) -> {
-                    if (lease.endMillis() < runtime.nowMillis()) {
-                        over.add(id);
+                    if (lease.expiresAtMillis() < runtime.nowMillis()) {
+                        expired.add(id);
                     }
                 });
-        over.forEach(this::end);
+        expired.forEach(this::revokeLease);
     }
 
     /**
@@ -250,9 +250,9 @@
         long created = before == null ? revision : before.createdRevision();
         StoreItem item = new StoreItem(key, write.value(), revision, created);
         items.put(key, item);
-        keyLeases.remove(key);
+        leaseIdByKey.remove(key);
         if (write.lease() != 0) {
-            keyLeases.put(key, write.lease());
+            leaseIdByKey.put(key, write.lease());
         }
         history.add(new StoreEvent(key, revision, item));
     }
@@ -263,7 +263,7 @@
      * @param key the key
      */
     private void remove(String key) {
-        keyLeases.remove(key);
+        leaseIdByKey.remove(key);
         if (items.remove(key) != null) {
             history.add(new StoreEvent(key, revision, null));
         }
@@ -276,7 +276,7 @@
      * @return the value, or null if the key does not exist
      */
     public byte @Nullable [] value(String key) {
-        expire();
+        revokeExpiredLeases();
         StoreItem item = items.get(key);
         return item == null ? null : item.value();
     }
@@ -285,7 +285,7 @@
      * An active lease.
      *
      * @param ttlMillis the time to live, counted from a renewal, in milliseconds
-     * @param endMillis when the lease expires unless it is renewed, in milliseconds
+     * @param expiresAtMillis when the lease expires unless it is renewed, in milliseconds
      */
-    private record Lease(long ttlMillis, long endMillis) {}
+    private record Lease(long ttlMillis, long expiresAtMillis) {}
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/FreezableRuntime.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/FreezableRuntime.java
@@ -12,61 +12,61 @@
 public final class FreezableRuntime implements ProcessRuntime {
 
     /** The clock and timers of the whole simulation, which are never frozen. */
-    private final ProcessRuntime world;
+    private final ProcessRuntime delegate;
 
     /** The actions that became due while the process was frozen, in the order of their times. */
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
 
     /** The total duration of the completed freezes, in milliseconds. */
-    private long frozenMillis;
+    private long totalFrozenMillis;
 
     /** When the freeze in progress began, in milliseconds, or -1 if the process is not frozen. */
-    private long frozenAtMillis = -1;
+    private long frozenSinceMillis = -1;
 
     /**
      * Creates the clock of a process that is not frozen.
      *
-     * @param world the clock and timers of the whole simulation
+     * @param delegate the clock and timers of the whole simulation
      */
-    public FreezableRuntime(ProcessRuntime world) {
-        this.world = world;
+    public FreezableRuntime(ProcessRuntime delegate) {
+        this.delegate = delegate;
     }
 
     @Override
     public long nowMillis() {
-        long now = frozenAtMillis < 0 ? world.nowMillis() : frozenAtMillis;
-        return now - frozenMillis;
+        long now = frozenSinceMillis < 0 ? delegate.nowMillis() : frozenSinceMillis;
+        return now - totalFrozenMillis;
     }
 
     @Override
     public long unixMillis() {
-        return world.unixMillis();
+        return delegate.unixMillis();
     }
 
     @Override
     public void schedule(long delayMillis, Runnable action) {
-        world.schedule(
+        delegate.schedule(
                 delayMillis,
                 () -> {
-                    if (frozenAtMillis < 0) {
+                    if (frozenSinceMillis < 0) {
                         action.run();
                     } else {
-                        held.add(action);
+                        deferredActions.add(action);
                     }
                 });
     }
 
     /** Freezes the process. Must not be called while it is frozen. */
     public void freeze() {
-        frozenAtMillis = world.nowMillis();
+        frozenSinceMillis = delegate.nowMillis();
     }
 
     /** Unfreezes the process and runs the actions that became due meanwhile. */
-    public void thaw() {
-        frozenMillis += world.nowMillis() - frozenAtMillis;
-        frozenAtMillis = -1;
-        List<Runnable> due = new ArrayList<>(held);
-        held.clear();
+    public void unfreeze() {
+        totalFrozenMillis += delegate.nowMillis() - frozenSinceMillis;
+        frozenSinceMillis = -1;
+        List<Runnable> due = new ArrayList<>(deferredActions);
+        deferredActions.clear();
         due.forEach(Runnable::run);
     }
 }
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/time/VirtualTime.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/time/VirtualTimeScheduler.java
@@ -7,23 +7,23 @@
  * Runs scheduled actions in the order of their times on a virtual clock. The clock advances only
  * between actions; an action takes no virtual time. Not thread-safe.
  */
-public final class VirtualTime {
+public final class VirtualTimeScheduler {
 
     /** The scheduled actions that have not run, the earliest first. */
-    private final PriorityQueue<ScheduledStep> steps = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> actions = new PriorityQueue<>();
 
     /** The virtual time, in milliseconds. */
     private long nowMillis;
 
     /** The number of actions scheduled so far, from which sequence numbers are taken. */
-    private long scheduled;
+    private long scheduledCount;
 
     /**
      * Creates a scheduler without actions.
      *
      * @param startMillis the initial virtual time, in milliseconds
      */
-    public VirtualTime(long startMillis) {
+    public VirtualTimeScheduler(long startMillis) {
         this.nowMillis = startMillis;
     }
 
@@ -40,11 +40,11 @@
      * Schedules an action. Actions that are due at the same time run in the order of these calls.
      *
      * @param delayMillis the delay from now, in milliseconds
-     * @param step the action
+     * @param action the action
      */
-    public void after(long delayMillis, Runnable step) {
-        scheduled++;
-        steps.add(new ScheduledStep(nowMillis + delayMillis, scheduled, step));
+    public void schedule(long delayMillis, Runnable action) {
+        scheduledCount++;
+        actions.add(new ScheduledAction(nowMillis + delayMillis, scheduledCount, action));
     }
 
     /**
@@ -52,15 +52,15 @@
      *
      * @param endMillis the point in virtual time to stop at, in milliseconds; actions that are due
      *     at that time still run
-     * @param done the condition, checked after each action
+     * @param condition the condition, checked after each action
      * @return true if the condition held, false if the point in time was reached
      */
-    public boolean run(long endMillis, BooleanSupplier done) {
-        while (!steps.isEmpty() && steps.element().atMillis() <= endMillis) {
-            ScheduledStep next = steps.remove();
-            nowMillis = next.atMillis();
-            next.step().run();
-            if (done.getAsBoolean()) {
+    public boolean runUntil(long endMillis, BooleanSupplier condition) {
+        while (!actions.isEmpty() && actions.element().dueMillis() <= endMillis) {
+            ScheduledAction next = actions.remove();
+            nowMillis = next.dueMillis();
+            next.action().run();
+            if (condition.getAsBoolean()) {
                 return true;
             }
         }
@@ -73,7 +73,7 @@
      *
      * @param millis the time to advance by, in milliseconds
      */
-    public void pass(long millis) {
-        run(nowMillis + millis, () -> false);
+    public void advance(long millis) {
+        runUntil(nowMillis + millis, () -> false);
     }
 }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerWorld.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/CellSimulation.java
@@ -31,67 +31,67 @@
 import org.damasktiller.scheduler.port.AdviceReply;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.damasktiller.scheduler.port.StoreTransaction;
-import org.damasktiller.standin.fleet.FleetClient;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.FaultInjectingWorkerClient;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
+import org.damasktiller.standin.fleet.SimulatedWorker;
 import org.damasktiller.standin.fleet.TaskBehaviour;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.FatePlan;
-import org.damasktiller.standin.metadata.StoreClient;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.FaultInjectingStoreClient;
+import org.damasktiller.standin.metadata.FaultPlan;
+import org.damasktiller.standin.metadata.InMemoryStore;
 import org.damasktiller.standin.time.FreezableRuntime;
-import org.damasktiller.standin.time.PausedRuntime;
+import org.damasktiller.standin.time.VirtualTimeRuntime;
 import org.jspecify.annotations.Nullable;
 
 /** A simulation of one cell, with its store, its workers and its owners, on a virtual clock. */
-final class OwnerWorld implements TaskBehaviour {
+final class CellSimulation implements TaskBehaviour {
 
     /** The name of the cell and of the service that its workers belong to. */
     static final String CELL = "dispatch";
 
     /** The number of failed runs of a task after which its submission fails. */
-    static final int ATTEMPTS = 3;
+    static final int MAXIMUM_ATTEMPTS = 3;
 
     /** The processors of a worker, in millicores; also its memory, in megabytes. */
-    private static final long WORKER_CPU = 8_000;
+    private static final long WORKER_CAPACITY = 8_000;
 
     /** The clock and timers of the simulation. */
-    final PausedRuntime runtime = new PausedRuntime();
+    final VirtualTimeRuntime runtime = new VirtualTimeRuntime();
 
     /** The store of the cell. */
-    final StoreModel store = new StoreModel(runtime);
+    final InMemoryStore store = new InMemoryStore(runtime);
 
     /** The workers by identifier. */
-    final Map<String, WorkerModel> workers = new LinkedHashMap<>();
+    final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
 
     /** The identifiers of the workers that cannot be reached. */
-    final Set<String> cut = FleetClient.nothingCut();
+    final Set<String> unreachable = FaultInjectingWorkerClient.newIdSet();
 
     /** Checks the safety properties on the events of the workers. */
-    final RunAudit audit = new RunAudit(ATTEMPTS);
+    final RunInvariantChecker invariants = new RunInvariantChecker(MAXIMUM_ATTEMPTS);
 
     /** The lines that owners have logged. */
-    final List<String> lines = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
 
     /** The submissions by identifier. */
     private final Map<String, Submission> submissions = new LinkedHashMap<>();
 
     /** The duration of a short task on a worker that is not slow, in milliseconds. */
-    long workMillis = 400;
+    long taskDurationMillis = 400;
 
     /** The factors by which short tasks take longer, by the identifier of the slow worker. */
-    final Map<String, Integer> slowness = new LinkedHashMap<>();
+    final Map<String, Integer> slowdownFactors = new LinkedHashMap<>();
 
     /** The identifiers of the workers on which all runs fail. */
-    final Set<String> failing = FleetClient.nothingCut();
+    final Set<String> failingWorkers = FaultInjectingWorkerClient.newIdSet();
 
     /** The identifiers of the submissions of which all runs fail. */
-    final Set<String> hopeless = FleetClient.nothingCut();
+    final Set<String> failingSubmissions = FaultInjectingWorkerClient.newIdSet();
 
     /** Whether tasks may run only on workers that the advice service allows. */
     boolean adviceNeeded;
 
     /** The identifiers of the workers that the advice service allows. */
-    final Set<String> advised = FleetClient.nothingCut();
+    final Set<String> advisedWorkers = FaultInjectingWorkerClient.newIdSet();
 
     /** The generation of the owner that started last. */
     private long generation;
@@ -101,7 +101,7 @@
      *
      * @param count the number of workers, which are named w0, w1 and so on
      */
-    OwnerWorld(int count) {
+    CellSimulation(int count) {
         for (int number = 0; number < count; number++) {
             addWorker("w" + number);
         }
@@ -113,8 +113,8 @@
      * @param id the identifier of the worker
      */
     void addWorker(String id) {
-        Resources capacity = new Resources(WORKER_CPU, WORKER_CPU, 0);
-        workers.put(id, new WorkerModel(id, capacity, runtime, this, audit));
+        Resources capacity = new Resources(WORKER_CAPACITY, WORKER_CAPACITY, 0);
+        workers.put(id, new SimulatedWorker(id, capacity, runtime, this, invariants));
         register(id, false);
     }
 
@@ -125,14 +125,14 @@
      * @param draining whether the worker is about to leave
      */
     void register(String id, boolean draining) {
-        WorkerModel model = workers.get(id);
+        SimulatedWorker model = workers.get(id);
         InetSocketAddress address =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + workers.size());
         store.commit(
                 new StoreTransaction()
                         .put(
-                                ModelFormats.WORKERS + id,
-                                ModelFormats.encode(
+                                TestRecordCodec.WORKER_KEY_PREFIX + id,
+                                TestRecordCodec.encode(
                                         id,
                                         CELL,
                                         address,
@@ -147,7 +147,7 @@
      * @param id the identifier of the worker
      */
     void unregister(String id) {
-        store.commit(new StoreTransaction().remove(ModelFormats.WORKERS + id));
+        store.commit(new StoreTransaction().remove(TestRecordCodec.WORKER_KEY_PREFIX + id));
     }
 
     /**
@@ -191,7 +191,7 @@
      * @param id the identifier of the submission
      * @return the state, or null if the submission is not stored
      */
-    @Nullable SubmissionState state(String id) {
+    @Nullable SubmissionState submissionState(String id) {
         byte[] value = store.value(CellKeys.submission(id));
         SubmissionRecord record =
                 value == null ? null : StoredValues.read(value, SubmissionRecord.class);
@@ -203,18 +203,18 @@
      *
      * @return the process of the owner
      */
-    OwnerProcess own() {
-        return own(FatePlan.CALM, FatePlan.CALM);
+    OwnerProcess startOwner() {
+        return startOwner(FaultPlan.NO_FAULTS, FaultPlan.NO_FAULTS);
     }
 
     /**
      * Starts an owner with a new generation. Owners that run already are not stopped.
      *
-     * @param storeFates the faults of the owner's calls to the store
-     * @param workerFates the faults of the owner's calls to workers
+     * @param storeFaults the faults of the owner's calls to the store
+     * @param workerFaults the faults of the owner's calls to workers
      * @return the process of the owner
      */
-    OwnerProcess own(FatePlan storeFates, FatePlan workerFates) {
+    OwnerProcess startOwner(FaultPlan storeFaults, FaultPlan workerFaults) {
         generation++;
         OwnerRecord record = new OwnerRecord("node" + generation, "process", generation);
         HeadRecord head = new HeadRecord(generation, 0, record.node());
@@ -227,19 +227,21 @@
                         .revision();
         FreezableRuntime clock = new FreezableRuntime(runtime);
         CellTerm term = new CellTerm(generation, record, revision, clock.nowMillis());
-        StoreClient storeClient = new StoreClient(store, clock, storeFates);
-        FleetClient fleetClient = new FleetClient(workers, cut, clock, workerFates);
+        FaultInjectingStoreClient storeClient =
+                new FaultInjectingStoreClient(store, clock, storeFaults);
+        FaultInjectingWorkerClient workerClient =
+                new FaultInjectingWorkerClient(workers, unreachable, clock, workerFaults);
         CellEnvironment environment =
                 new CellEnvironment(
                         CellSettings.builder().build(),
                         storeClient,
-                        fleetClient,
+                        workerClient,
                         this::advise,
-                        new ModelFormats(),
+                        new TestRecordCodec(),
                         clock,
                         this::log,
                         manifest());
-        OwnerProcess process = new OwnerProcess(storeClient, fleetClient, clock);
+        OwnerProcess process = new OwnerProcess(storeClient, workerClient, clock);
         CellOwner owner =
                 new CellOwner(
                         environment, CELL, term, entry -> true, reason -> process.ended = true);
@@ -255,7 +257,7 @@
      */
     Set<String> workersUsed() {
         Set<String> used = new TreeSet<>();
-        for (String line : lines) {
+        for (String line : logLines) {
             for (String id : workers.keySet()) {
                 if (line.contains(" run.start ") && line.contains(" " + id + ",")) {
                     used.add(id);
@@ -271,9 +273,9 @@
      * @param id the identifier of the worker
      * @return the number of starts, including those that the worker refused
      */
-    int starts(String id) {
+    int startCount(String id) {
         return (int)
-                lines.stream()
+                logLines.stream()
                         .filter(
                                 line ->
                                         line.contains(" run.start ")
@@ -288,8 +290,8 @@
      * @param after the numbers of the earlier steps that must complete first
      * @return the step
      */
-    static StepSpec step(int count, Integer... after) {
-        return spec(count, false, List.of(after));
+    static StepSpec shortStep(int count, Integer... after) {
+        return createStep(count, false, List.of(after));
     }
 
     /**
@@ -298,8 +300,8 @@
      * @param count the number of tasks
      * @return the step
      */
-    static StepSpec lasting(int count) {
-        return spec(count, true, List.of());
+    static StepSpec longRunningStep(int count) {
+        return createStep(count, true, List.of());
     }
 
     @Override
@@ -309,15 +311,18 @@
     }
 
     @Override
-    public long workMillis(String worker, TaskId task) {
+    public long durationMillis(String worker, TaskId task) {
         Submission submission = submissions.get(task.submission());
-        boolean lasts = submission != null && submission.steps().get(task.step()).lasting();
-        return lasts ? LASTS : workMillis * slowness.getOrDefault(worker, 1);
+        boolean longRunning = submission != null && submission.steps().get(task.step()).lasting();
+        return longRunning
+                ? RUNS_UNTIL_STOPPED
+                : taskDurationMillis * slowdownFactors.getOrDefault(worker, 1);
     }
 
     @Override
-    public EndKind end(String worker, TaskId task) {
-        boolean fails = failing.contains(worker) || hopeless.contains(task.submission());
+    public EndKind outcome(String worker, TaskId task) {
+        boolean fails =
+                failingWorkers.contains(worker) || failingSubmissions.contains(task.submission());
         return fails ? EndKind.FAILED : EndKind.DONE;
     }
 
@@ -325,15 +330,15 @@
      * Creates a step.
      *
      * @param count the number of tasks
-     * @param lasting whether the tasks are long-running
+     * @param longRunning whether the tasks are long-running
      * @param after the numbers of the earlier steps that must complete first
      * @return the step
      */
-    private static StepSpec spec(int count, boolean lasting, List<Integer> after) {
+    private static StepSpec createStep(int count, boolean longRunning, List<Integer> after) {
         return StepSpec.builder(count, new Resources(2_000, 1_000, 0))
                 .estimateMillis(400)
                 .after(after)
-                .lasting(lasting)
+                .lasting(longRunning)
                 .build();
     }
 
@@ -343,7 +348,8 @@
      * @return the manifest
      */
     private Manifest manifest() {
-        Route route = new Route("route", "host", "/", CELL, 0, ATTEMPTS, 2, 1_000, adviceNeeded);
+        Route route =
+                new Route("route", "host", "/", CELL, 0, MAXIMUM_ATTEMPTS, 2, 1_000, adviceNeeded);
         return new Manifest(1, List.of(route), Set.of(CELL), new IngressLimits(1 << 18, 15_000));
     }
 
@@ -352,18 +358,19 @@
      * workers.
      *
      * @param step the name of the step
-     * @param asked the identifiers of the candidate workers
-     * @param answer receives the reply
+     * @param candidates the identifiers of the candidate workers
+     * @param callback receives the reply
      */
-    private void advise(String step, List<String> asked, Consumer<AdviceReply> answer) {
+    private void advise(String step, List<String> candidates, Consumer<AdviceReply> callback) {
         Map<String, String> tickets = new LinkedHashMap<>();
-        for (String worker : asked) {
-            if (advised.contains(worker)) {
+        for (String worker : candidates) {
+            if (advisedWorkers.contains(worker)) {
                 tickets.put(worker, step + '-' + worker);
             }
         }
         runtime.schedule(
-                20L * asked.size(), () -> answer.accept(new AdviceReply(true, tickets, 3_000, "")));
+                20L * candidates.size(),
+                () -> callback.accept(new AdviceReply(true, tickets, 3_000, "")));
     }
 
     /**
@@ -373,17 +380,17 @@
      * @param fields alternating names and values of the fields
      */
     private void log(String event, Object... fields) {
-        lines.add(runtime.nowMillis() + " " + event + " " + List.of(fields));
+        logLines.add(runtime.nowMillis() + " " + event + " " + List.of(fields));
     }
 
     /** The simulated process of an owner, which can be killed or frozen. */
     static final class OwnerProcess {
 
         /** The connection to the store. */
-        private final StoreClient storeClient;
+        private final FaultInjectingStoreClient storeClient;
 
         /** The connections to the workers. */
-        private final FleetClient fleetClient;
+        private final FaultInjectingWorkerClient workerClient;
 
         /** The clock and timers of the process. */
         final FreezableRuntime clock;
@@ -398,19 +405,22 @@
          * Creates a process without an owner.
          *
          * @param storeClient the connection to the store
-         * @param fleetClient the connections to the workers
+         * @param workerClient the connections to the workers
          * @param clock the clock and timers of the process
          */
-        OwnerProcess(StoreClient storeClient, FleetClient fleetClient, FreezableRuntime clock) {
+        OwnerProcess(
+                FaultInjectingStoreClient storeClient,
+                FaultInjectingWorkerClient workerClient,
+                FreezableRuntime clock) {
             this.storeClient = storeClient;
-            this.fleetClient = fleetClient;
+            this.workerClient = workerClient;
             this.clock = clock;
         }
 
         /** Kills the process: the owner stops, and its connections are closed. */
         void kill() {
             storeClient.kill();
-            fleetClient.kill();
+            workerClient.kill();
             if (owner != null) {
                 owner.stop("killed");
             }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerFaultMatrixTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerFaultMatrixTest.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.FatePlan;
-import org.damasktiller.verification.owner.OwnerWorld.OwnerProcess;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultPlan;
+import org.damasktiller.verification.owner.CellSimulation.OwnerProcess;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -26,78 +26,80 @@
             List.of("start", "stop", "hold", "commit", "read", "list");
 
     /** The number of calls of each kind, from the first on, into which a fault is injected. */
-    private static final int MOST_CALLS = 10;
+    private static final int MAX_CALL_NUMBER = 10;
 
     /**
      * The times from the submissions until the first owner is killed, in milliseconds; 0 for never.
      */
-    private static final long[] KILL_TIMES = {0, 150, 900, 4_600};
+    private static final long[] KILL_DELAYS_MILLIS = {0, 150, 900, 4_600};
 
     /** The number of steps of a chain long enough to be still running when late calls arrive. */
-    private static final int CHAIN = 14;
+    private static final int CHAIN_STEP_COUNT = 14;
 
     /** The number of submissions of two steps in each case. */
-    private static final int JOBS = 4;
+    private static final int SUBMISSION_COUNT = 4;
 
     /** The identifier of the submission with a chain of steps. */
-    private static final String CHAIN_JOB = "00000000000000fe";
+    private static final String CHAIN_SUBMISSION = "00000000000000fe";
 
     /** The number of random cases; their seeds count from 0. */
-    private static final int SEEDS = 250;
+    private static final int SEED_COUNT = 250;
 
     @Test
     void everyFaultAtEveryCall() {
-        List<String> found = new ArrayList<>();
-        int cases = 0;
+        List<String> violations = new ArrayList<>();
+        int caseCount = 0;
         for (String call : CALLS) {
-            for (CallFate fate : CallFate.values()) {
-                for (int number = 1; number <= MOST_CALLS; number++) {
-                    for (long killAfter : KILL_TIMES) {
-                        cases++;
-                        String name = call + ' ' + fate + ' ' + number + " kill " + killAfter;
-                        found.addAll(run(name, nth(call, fate, number), killAfter));
+            for (CallFault fault : CallFault.values()) {
+                for (int number = 1; number <= MAX_CALL_NUMBER; number++) {
+                    for (long killAfterMillis : KILL_DELAYS_MILLIS) {
+                        caseCount++;
+                        String name =
+                                call + ' ' + fault + ' ' + number + " kill " + killAfterMillis;
+                        violations.addAll(
+                                run(name, faultInCall(call, fault, number), killAfterMillis));
                     }
                 }
             }
         }
-        assertThat(cases, greaterThan(800));
-        assertThat(found, empty());
+        assertThat(caseCount, greaterThan(800));
+        assertThat(violations, empty());
     }
 
     @Test
     void randomFaultsOfManyCalls() {
-        List<String> found = new ArrayList<>();
-        for (int seed = 0; seed < SEEDS; seed++) {
+        List<String> violations = new ArrayList<>();
+        for (int seed = 0; seed < SEED_COUNT; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            FatePlan plan =
+            FaultPlan plan =
                     call -> {
-                        CallFate[] fates = CallFate.values();
+                        CallFault[] faults = CallFault.values();
                         return random.nextInt(12) > 0
-                                ? CallFate.ANSWERED
-                                : fates[random.nextInt(fates.length)];
+                                ? CallFault.ANSWERED
+                                : faults[random.nextInt(faults.length)];
                     };
-            long killAfter = random.nextInt(3) == 0 ? 0 : random.nextInt(100, 3_000);
-            found.addAll(run("seed " + seed, plan, killAfter));
+            long killAfterMillis = random.nextInt(3) == 0 ? 0 : random.nextInt(100, 3_000);
+            violations.addAll(run("seed " + seed, plan, killAfterMillis));
         }
-        assertThat(found, empty());
+        assertThat(violations, empty());
     }
 
     /**
      * Creates a plan that injects a fault into a single call.
      *
      * @param call the kind of the call
-     * @param fate the fault
+     * @param fault the fault
      * @param number the position of the call among the calls of that kind, from 1
      * @return the plan
      */
-    private static FatePlan nth(String call, CallFate fate, int number) {
-        int[] seen = new int[1];
+    private static FaultPlan faultInCall(String call, CallFault fault, int number) {
+        int[] seenCount = new int[1];
         return name -> {
             if (!name.equals(call)) {
-                return CallFate.ANSWERED;
+                return CallFault.ANSWERED;
             }
-            seen[0]++;
-            return seen[0] == number ? fate : CallFate.ANSWERED;
+            seenCount[0]++;
+            return seenCount[0] == number ? fault : CallFault.ANSWERED;
         };
     }
 
@@ -111,40 +113,43 @@
      *     or 0 for never
      * @return a message for each violation and each submission that did not succeed
      */
-    private static List<String> run(String name, FatePlan plan, long killAfterMillis) {
-        OwnerWorld world = new OwnerWorld(3);
-        OwnerProcess first = world.own(plan, plan);
-        world.runtime.advance(100);
-        for (int job = 0; job < JOBS; job++) {
-            world.submit("000000000000000" + job, OwnerWorld.step(3), OwnerWorld.step(2, 0));
+    private static List<String> run(String name, FaultPlan plan, long killAfterMillis) {
+        CellSimulation simulation = new CellSimulation(3);
+        OwnerProcess first = simulation.startOwner(plan, plan);
+        simulation.runtime.advance(100);
+        for (int number = 0; number < SUBMISSION_COUNT; number++) {
+            simulation.submit(
+                    "000000000000000" + number,
+                    CellSimulation.shortStep(3),
+                    CellSimulation.shortStep(2, 0));
         }
-        world.submit("00000000000000ff", OwnerWorld.lasting(2));
-        world.submit(CHAIN_JOB, chain());
+        simulation.submit("00000000000000ff", CellSimulation.longRunningStep(2));
+        simulation.submit(CHAIN_SUBMISSION, chain());
         if (killAfterMillis > 0) {
-            world.runtime.advance(killAfterMillis);
+            simulation.runtime.advance(killAfterMillis);
             first.kill();
-            world.runtime.advance(50);
-            world.own();
+            simulation.runtime.advance(50);
+            simulation.startOwner();
         }
-        world.runtime.advance(40_000);
+        simulation.runtime.advance(40_000);
         if (first.ended && killAfterMillis == 0) {
-            world.own();
-            world.runtime.advance(40_000);
+            simulation.startOwner();
+            simulation.runtime.advance(40_000);
         }
-        List<String> wrong = new ArrayList<>();
-        for (String violation : world.audit.violations()) {
-            wrong.add(name + ": " + violation);
+        List<String> violations = new ArrayList<>();
+        for (String violation : simulation.invariants.violations()) {
+            violations.add(name + ": " + violation);
         }
-        for (int job = 0; job < JOBS; job++) {
-            SubmissionState state = world.state("000000000000000" + job);
+        for (int number = 0; number < SUBMISSION_COUNT; number++) {
+            SubmissionState state = simulation.submissionState("000000000000000" + number);
             if (state != SubmissionState.SUCCEEDED) {
-                wrong.add(name + ": submission " + job + " is " + state);
+                violations.add(name + ": submission " + number + " is " + state);
             }
         }
-        if (world.state(CHAIN_JOB) != SubmissionState.SUCCEEDED) {
-            wrong.add(name + ": the chain is " + world.state(CHAIN_JOB));
+        if (simulation.submissionState(CHAIN_SUBMISSION) != SubmissionState.SUCCEEDED) {
+            violations.add(name + ": the chain is " + simulation.submissionState(CHAIN_SUBMISSION));
         }
-        return wrong;
+        return violations;
     }
 
     /**
@@ -153,9 +158,12 @@
      * @return the steps
      */
     private static StepSpec[] chain() {
-        StepSpec[] steps = new StepSpec[CHAIN];
-        for (int number = 0; number < CHAIN; number++) {
-            steps[number] = number == 0 ? OwnerWorld.step(1) : OwnerWorld.step(1, number - 1);
+        StepSpec[] steps = new StepSpec[CHAIN_STEP_COUNT];
+        for (int number = 0; number < CHAIN_STEP_COUNT; number++) {
+            steps[number] =
+                    number == 0
+                            ? CellSimulation.shortStep(1)
+                            : CellSimulation.shortStep(1, number - 1);
         }
         return steps;
     }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
@@ -10,26 +10,26 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.FatePlan;
-import org.damasktiller.verification.owner.OwnerWorld.OwnerProcess;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultPlan;
+import org.damasktiller.verification.owner.CellSimulation.OwnerProcess;
 import org.junit.jupiter.api.Test;
 
 /** Tests the owner of a cell in scenarios with single failures of owners, workers and the store. */
 final class OwnerTest {
 
     /** The identifier of the main submission of each test. */
-    private static final String JOB = "00000000000000a1";
+    private static final String SUBMISSION = "00000000000000a1";
 
     @Test
     void stepsRunInOrderAndTheResultIsStored() {
-        OwnerWorld world = new OwnerWorld(3);
-        world.own();
-        world.submit(JOB, OwnerWorld.step(6), OwnerWorld.step(4, 0));
-        world.runtime.advance(3_000);
-        assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
-        assertThat(world.audit.violations(), empty());
-        assertThat(world.audit.done().size(), equalTo(10));
+        CellSimulation simulation = new CellSimulation(3);
+        simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.shortStep(6), CellSimulation.shortStep(4, 0));
+        simulation.runtime.advance(3_000);
+        assertThat(simulation.submissionState(SUBMISSION), equalTo(SubmissionState.SUCCEEDED));
+        assertThat(simulation.invariants.violations(), empty());
+        assertThat(simulation.invariants.succeededTasks().size(), equalTo(10));
     }
 
     /**
@@ -39,50 +39,54 @@
      */
     @Test
     void failedRunsListedInAnyOrderAllCount() {
-        OwnerWorld world = new OwnerWorld(4);
+        CellSimulation simulation = new CellSimulation(4);
         OwnerProcess first =
-                world.own(
+                simulation.startOwner(
                         call ->
-                                call.equals("commit") && world.runtime.nowMillis() > 100
-                                        ? CallFate.LOST
-                                        : CallFate.ANSWERED,
-                        FatePlan.CALM);
-        world.runtime.advance(200);
+                                call.equals("commit") && simulation.runtime.nowMillis() > 100
+                                        ? CallFault.LOST
+                                        : CallFault.ANSWERED,
+                        FaultPlan.NO_FAULTS);
+        simulation.runtime.advance(200);
         for (int number = 0; number < 12; number++) {
             String id = "00000000000000c" + Integer.toHexString(number);
-            world.hopeless.add(id);
-            world.submit(id, OwnerWorld.step(1));
-            world.runtime.advance(60);
+            simulation.failingSubmissions.add(id);
+            simulation.submit(id, CellSimulation.shortStep(1));
+            simulation.runtime.advance(60);
         }
-        world.runtime.advance(2_500);
+        simulation.runtime.advance(2_500);
         first.kill();
-        world.own();
-        world.runtime.advance(12_000);
+        simulation.startOwner();
+        simulation.runtime.advance(12_000);
         for (int number = 0; number < 12; number++) {
             String id = "00000000000000c" + Integer.toHexString(number);
-            assertThat(world.state(id), equalTo(SubmissionState.FAILED));
-            assertThat(world.audit.starts(new TaskId(id, 0, 0, 0)), equalTo(OwnerWorld.ATTEMPTS));
+            assertThat(simulation.submissionState(id), equalTo(SubmissionState.FAILED));
+            assertThat(
+                    simulation.invariants.startCount(new TaskId(id, 0, 0, 0)),
+                    equalTo(CellSimulation.MAXIMUM_ATTEMPTS));
         }
-        assertThat(world.audit.violations(), empty());
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     @Test
-    void lastingTasksGoOnElsewhereWhenTheirWorkerIsGone() {
-        OwnerWorld world = new OwnerWorld(3);
-        world.own();
-        world.submit(JOB, OwnerWorld.lasting(2));
-        world.runtime.advance(1_000);
-        for (String id : world.workers.keySet()) {
-            if (world.workers.get(id).activeRuns() > 0) {
-                world.cut.add(id);
-                world.unregister(id);
+    void longRunningTasksRestartElsewhereWhenTheirWorkerIsLost() {
+        CellSimulation simulation = new CellSimulation(3);
+        simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(2));
+        simulation.runtime.advance(1_000);
+        for (String id : simulation.workers.keySet()) {
+            if (simulation.workers.get(id).activeRunCount() > 0) {
+                simulation.unreachable.add(id);
+                simulation.unregister(id);
                 break;
             }
         }
-        world.runtime.advance(9_000);
-        assertThat(world.audit.violations(), empty());
-        assertThat(world.audit.active(new TaskId(JOB, 0, 0, 0)), equalTo(1));
-        assertThat(world.audit.active(new TaskId(JOB, 0, 0, 1)), equalTo(1));
+        simulation.runtime.advance(9_000);
+        assertThat(simulation.invariants.violations(), empty());
+        assertThat(
+                simulation.invariants.activeRunCount(new TaskId(SUBMISSION, 0, 0, 0)), equalTo(1));
+        assertThat(
+                simulation.invariants.activeRunCount(new TaskId(SUBMISSION, 0, 0, 1)), equalTo(1));
     }
 
     /**
@@ -91,49 +95,53 @@
      * during a change of the owner.
      */
     @Test
-    void lastingTaskThatRanComesBackUnderTheNextOwner() {
-        OwnerWorld world = new OwnerWorld(2);
-        OwnerProcess first = world.own();
-        world.submit(JOB, OwnerWorld.lasting(6));
-        world.runtime.advance(1_000);
+    void longRunningTaskThatRanRestartsUnderTheNextOwner() {
+        CellSimulation simulation = new CellSimulation(2);
+        OwnerProcess first = simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(6));
+        simulation.runtime.advance(1_000);
         first.kill();
-        world.cut.add("w0");
-        world.unregister("w0");
-        world.own();
-        world.addWorker("w2");
-        world.submit("00000000000000a2", OwnerWorld.lasting(1));
-        world.runtime.advance(12_000);
+        simulation.unreachable.add("w0");
+        simulation.unregister("w0");
+        simulation.startOwner();
+        simulation.addWorker("w2");
+        simulation.submit("00000000000000a2", CellSimulation.longRunningStep(1));
+        simulation.runtime.advance(12_000);
         for (int index = 0; index < 6; index++) {
-            assertThat(world.audit.active(new TaskId(JOB, 0, 0, index)), equalTo(1));
+            assertThat(
+                    simulation.invariants.activeRunCount(new TaskId(SUBMISSION, 0, 0, index)),
+                    equalTo(1));
         }
-        assertThat(world.audit.violations(), empty());
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     @Test
-    void cancelledWorkStopsAndStartsNoMore() {
-        OwnerWorld world = new OwnerWorld(2);
-        world.own();
-        world.submit(JOB, OwnerWorld.lasting(2));
-        world.runtime.advance(1_000);
-        world.cancel(JOB);
-        world.runtime.advance(1_000);
-        assertThat(world.audit.active(new TaskId(JOB, 0, 0, 0)), equalTo(0));
-        int starts = world.audit.starts(new TaskId(JOB, 0, 0, 0));
-        world.runtime.advance(3_000);
-        assertThat(world.audit.starts(new TaskId(JOB, 0, 0, 0)), equalTo(starts));
+    void cancelledSubmissionStopsAndDoesNotRestart() {
+        CellSimulation simulation = new CellSimulation(2);
+        simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(2));
+        simulation.runtime.advance(1_000);
+        simulation.cancel(SUBMISSION);
+        simulation.runtime.advance(1_000);
+        assertThat(
+                simulation.invariants.activeRunCount(new TaskId(SUBMISSION, 0, 0, 0)), equalTo(0));
+        int starts = simulation.invariants.startCount(new TaskId(SUBMISSION, 0, 0, 0));
+        simulation.runtime.advance(3_000);
+        assertThat(
+                simulation.invariants.startCount(new TaskId(SUBMISSION, 0, 0, 0)), equalTo(starts));
     }
 
     @Test
-    void pausedOwnerStartsNothingAfterItsSuccessor() {
-        OwnerWorld world = new OwnerWorld(2);
-        OwnerProcess first = world.own();
-        world.runtime.advance(500);
-        world.own();
-        world.submit(JOB, OwnerWorld.step(4));
-        world.runtime.advance(3_000);
+    void supersededOwnerStartsNothing() {
+        CellSimulation simulation = new CellSimulation(2);
+        OwnerProcess first = simulation.startOwner();
+        simulation.runtime.advance(500);
+        simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.shortStep(4));
+        simulation.runtime.advance(3_000);
         assertThat(first.ended, is(true));
-        assertThat(world.audit.violations(), empty());
-        assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
+        assertThat(simulation.invariants.violations(), empty());
+        assertThat(simulation.submissionState(SUBMISSION), equalTo(SubmissionState.SUCCEEDED));
     }
 
     /**
@@ -141,22 +149,22 @@
      * job. Such a listing must not make the owner start the job again.
      */
     @Test
-    void closedJobIsNotTakenFromAnOlderListing() {
-        OwnerWorld world = new OwnerWorld(8);
-        world.own();
-        world.runtime.advance(100);
+    void completedJobIsNotRestartedByAnOlderListing() {
+        CellSimulation simulation = new CellSimulation(8);
+        simulation.startOwner();
+        simulation.runtime.advance(100);
         for (int round = 0; round < 600; round++) {
             if (round % 4 == 0 && round < 160) {
-                world.submit(String.format("%016x", round), OwnerWorld.step(1));
+                simulation.submit(String.format("%016x", round), CellSimulation.shortStep(1));
             }
-            world.runtime.advance(3);
-            world.store.compact();
+            simulation.runtime.advance(3);
+            simulation.store.compact();
         }
-        world.runtime.advance(3_000);
-        assertThat(world.audit.violations(), empty());
+        simulation.runtime.advance(3_000);
+        assertThat(simulation.invariants.violations(), empty());
         for (int round = 0; round < 160; round += 4) {
             TaskId task = new TaskId(String.format("%016x", round), 0, 0, 0);
-            assertThat(world.audit.starts(task), equalTo(1));
+            assertThat(simulation.invariants.startCount(task), equalTo(1));
         }
     }
 
@@ -165,20 +173,20 @@
      * owner must not make the cell forget that worker, or its tasks would run twice.
      */
     @Test
-    void secondTakeoverStillWaitsForAWorkerThatIsCutOff() {
-        OwnerWorld world = new OwnerWorld(3);
-        OwnerProcess first = world.own();
-        world.submit(JOB, OwnerWorld.lasting(3));
-        world.runtime.advance(1_000);
-        world.cut.add("w0");
-        world.unregister("w0");
+    void secondTakeoverStillWaitsForAnUnreachableWorker() {
+        CellSimulation simulation = new CellSimulation(3);
+        OwnerProcess first = simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(3));
+        simulation.runtime.advance(1_000);
+        simulation.unreachable.add("w0");
+        simulation.unregister("w0");
         first.kill();
-        OwnerProcess second = world.own();
-        world.runtime.advance(400);
+        OwnerProcess second = simulation.startOwner();
+        simulation.runtime.advance(400);
         second.kill();
-        world.own();
-        world.runtime.advance(12_000);
-        assertThat(world.audit.violations(), empty());
+        simulation.startOwner();
+        simulation.runtime.advance(12_000);
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     /**
@@ -187,20 +195,22 @@
      * beyond the time for which the successor waits.
      */
     @Test
-    void ownerThatWakesDoesNotLengthenALeaseBeyondItsAuthority() {
-        OwnerWorld world = new OwnerWorld(1);
-        OwnerProcess first = world.own(cutFromTheStoreAfter(world, 1_000), FatePlan.CALM);
-        world.submit(JOB, OwnerWorld.lasting(3));
-        world.runtime.advance(1_700);
+    void resumedOwnerDoesNotExtendALeaseBeyondItsAuthority() {
+        CellSimulation simulation = new CellSimulation(1);
+        OwnerProcess first =
+                simulation.startOwner(loseStoreCallsAfter(simulation, 1_000), FaultPlan.NO_FAULTS);
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(3));
+        simulation.runtime.advance(1_700);
         first.clock.freeze();
-        world.unregister("w0");
-        world.addWorker("w1");
-        world.own();
-        world.runtime.advance(3_000);
-        first.clock.thaw();
-        world.runtime.advance(12_000);
-        assertThat(world.audit.active(new TaskId(JOB, 0, 0, 0)), equalTo(1));
-        assertThat(world.audit.violations(), empty());
+        simulation.unregister("w0");
+        simulation.addWorker("w1");
+        simulation.startOwner();
+        simulation.runtime.advance(3_000);
+        first.clock.unfreeze();
+        simulation.runtime.advance(12_000);
+        assertThat(
+                simulation.invariants.activeRunCount(new TaskId(SUBMISSION, 0, 0, 0)), equalTo(1));
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     /**
@@ -209,22 +219,23 @@
      * fencing token.
      */
     @Test
-    void ownerThatWakesStartsNothingThatCameAfterItsTerm() {
-        OwnerWorld world = new OwnerWorld(1);
-        OwnerProcess first = world.own(cutFromTheStoreAfter(world, 1_000), FatePlan.CALM);
-        world.runtime.advance(1_700);
+    void resumedOwnerStartsNothingAcceptedAfterItsTerm() {
+        CellSimulation simulation = new CellSimulation(1);
+        OwnerProcess first =
+                simulation.startOwner(loseStoreCallsAfter(simulation, 1_000), FaultPlan.NO_FAULTS);
+        simulation.runtime.advance(1_700);
         first.clock.freeze();
-        world.unregister("w0");
-        world.addWorker("w1");
-        world.own();
-        world.runtime.advance(200);
-        world.workMillis = 3_000;
-        world.submit(JOB, OwnerWorld.step(3));
-        world.runtime.advance(300);
-        first.clock.thaw();
-        world.runtime.advance(12_000);
-        assertThat(world.audit.violations(), empty());
-        assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
+        simulation.unregister("w0");
+        simulation.addWorker("w1");
+        simulation.startOwner();
+        simulation.runtime.advance(200);
+        simulation.taskDurationMillis = 3_000;
+        simulation.submit(SUBMISSION, CellSimulation.shortStep(3));
+        simulation.runtime.advance(300);
+        first.clock.unfreeze();
+        simulation.runtime.advance(12_000);
+        assertThat(simulation.invariants.violations(), empty());
+        assertThat(simulation.submissionState(SUBMISSION), equalTo(SubmissionState.SUCCEEDED));
     }
 
     /**
@@ -233,27 +244,27 @@
      * ended run that the owner has not seen, and the task would run again. Found by soak seed 235.
      */
     @Test
-    void firstLookAtANewLifeAcknowledgesNothing() {
-        OwnerWorld world = new OwnerWorld(1);
-        world.workMillis = 30;
+    void firstHeartbeatAfterARestartAcknowledgesNothing() {
+        CellSimulation simulation = new CellSimulation(1);
+        simulation.taskDurationMillis = 30;
         AtomicBoolean crashes = new AtomicBoolean();
-        world.own(
-                FatePlan.CALM,
+        simulation.startOwner(
+                FaultPlan.NO_FAULTS,
                 call -> {
                     if (call.equals("start") && crashes.getAndSet(false)) {
-                        world.workers.get("w0").boot();
-                        return CallFate.ANSWER_LOST;
+                        simulation.workers.get("w0").boot();
+                        return CallFault.ANSWER_LOST;
                     }
-                    return CallFate.ANSWERED;
+                    return CallFault.ANSWERED;
                 });
-        world.runtime.advance(500);
-        world.submit("00000000000000a9", OwnerWorld.step(3));
-        world.runtime.advance(2_000);
+        simulation.runtime.advance(500);
+        simulation.submit("00000000000000a9", CellSimulation.shortStep(3));
+        simulation.runtime.advance(2_000);
         crashes.set(true);
-        world.submit(JOB, OwnerWorld.step(1));
-        world.runtime.advance(20_000);
-        assertThat(world.audit.violations(), empty());
-        assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
+        simulation.submit(SUBMISSION, CellSimulation.shortStep(1));
+        simulation.runtime.advance(20_000);
+        assertThat(simulation.invariants.violations(), empty());
+        assertThat(simulation.submissionState(SUBMISSION), equalTo(SubmissionState.SUCCEEDED));
     }
 
     /**
@@ -261,66 +272,67 @@
      * sending calls that workers refuse.
      */
     @Test
-    void ownerThatTheStoreRefusesEndsAtTheFirstFence() {
-        OwnerWorld world = new OwnerWorld(2);
+    void ownerRefusedByTheStoreEndsWhenItIsFenced() {
+        CellSimulation simulation = new CellSimulation(2);
         OwnerProcess first =
-                world.own(
+                simulation.startOwner(
                         call ->
-                                world.runtime.nowMillis() > 500
-                                        ? CallFate.REFUSED
-                                        : CallFate.ANSWERED,
-                        FatePlan.CALM);
-        world.submit(JOB, OwnerWorld.lasting(4));
-        world.runtime.advance(1_000);
-        world.own();
-        world.runtime.advance(1_000);
+                                simulation.runtime.nowMillis() > 500
+                                        ? CallFault.REFUSED
+                                        : CallFault.ANSWERED,
+                        FaultPlan.NO_FAULTS);
+        simulation.submit(SUBMISSION, CellSimulation.longRunningStep(4));
+        simulation.runtime.advance(1_000);
+        simulation.startOwner();
+        simulation.runtime.advance(1_000);
         assertThat(first.ended, is(true));
-        assertThat(world.audit.violations(), empty());
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     @Test
-    void stepsOfAQueueThatNeedsAdviceRunOnTheWorkersItAllows() {
-        OwnerWorld world = new OwnerWorld(4);
-        world.adviceNeeded = true;
-        world.advised.add("w2");
-        world.own();
-        world.submit(JOB, OwnerWorld.step(6), OwnerWorld.step(2, 0));
-        world.runtime.advance(6_000);
-        assertThat(world.state(JOB), equalTo(SubmissionState.SUCCEEDED));
-        assertThat(world.workersUsed(), equalTo(Set.of("w2")));
+    void stepsThatNeedAdviceRunOnlyOnAdvisedWorkers() {
+        CellSimulation simulation = new CellSimulation(4);
+        simulation.adviceNeeded = true;
+        simulation.advisedWorkers.add("w2");
+        simulation.startOwner();
+        simulation.submit(SUBMISSION, CellSimulation.shortStep(6), CellSimulation.shortStep(2, 0));
+        simulation.runtime.advance(6_000);
+        assertThat(simulation.submissionState(SUBMISSION), equalTo(SubmissionState.SUCCEEDED));
+        assertThat(simulation.workersUsed(), equalTo(Set.of("w2")));
     }
 
     @Test
     void workerThatFailsEverythingDoesNotUseUpTheAttempts() {
-        OwnerWorld world = new OwnerWorld(4);
-        world.failing.add("w1");
-        world.own();
+        CellSimulation simulation = new CellSimulation(4);
+        simulation.failingWorkers.add("w1");
+        simulation.startOwner();
         for (int number = 0; number < 20; number++) {
-            world.submit("00000000000000b" + Integer.toHexString(number), OwnerWorld.step(2));
-            world.runtime.advance(150);
+            simulation.submit(
+                    "00000000000000b" + Integer.toHexString(number), CellSimulation.shortStep(2));
+            simulation.runtime.advance(150);
         }
-        world.runtime.advance(8_000);
+        simulation.runtime.advance(8_000);
         int succeeded = 0;
         for (int number = 0; number < 20; number++) {
             String id = "00000000000000b" + Integer.toHexString(number);
-            succeeded += world.state(id) == SubmissionState.SUCCEEDED ? 1 : 0;
+            succeeded += simulation.submissionState(id) == SubmissionState.SUCCEEDED ? 1 : 0;
         }
         assertThat(succeeded, greaterThan(19));
-        assertThat(world.audit.violations(), empty());
+        assertThat(simulation.invariants.violations(), empty());
     }
 
     /**
      * Creates a plan that from some time on loses all calls to the store, except watches for new
      * submissions.
      *
-     * @param world the simulation, by whose clock the plan decides
+     * @param simulation the simulation, by whose clock the plan decides
      * @param millis the virtual time from which calls are lost, in milliseconds
      * @return the plan
      */
-    private static FatePlan cutFromTheStoreAfter(OwnerWorld world, long millis) {
+    private static FaultPlan loseStoreCallsAfter(CellSimulation simulation, long millis) {
         return call ->
-                world.runtime.nowMillis() >= millis && !call.startsWith("watch open/")
-                        ? CallFate.LOST
-                        : CallFate.ANSWERED;
+                simulation.runtime.nowMillis() >= millis && !call.startsWith("watch open/")
+                        ? CallFault.LOST
+                        : CallFault.ANSWERED;
     }
 }
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/ModelFormats.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/TestRecordCodec.java
@@ -14,14 +14,14 @@
  * Encodes and decodes the platform's records in a format of the tests, so that they do not depend
  * on the real format. There is no manifest.
  */
-final class ModelFormats implements PlatformRecordDecoder {
+final class TestRecordCodec implements PlatformRecordDecoder {
 
     /** The prefix of the keys under which workers register. */
-    static final String WORKERS = "workers/";
+    static final String WORKER_KEY_PREFIX = "workers/";
 
     @Override
     public String workerKeyPrefix() {
-        return WORKERS;
+        return WORKER_KEY_PREFIX;
     }
 
     @Override
@@ -43,7 +43,7 @@
                         2_000,
                         entry.capacity(),
                         List.of("rack"),
-                        entry.born());
+                        entry.bootUnixMillis());
     }
 
     @Override
@@ -59,7 +59,7 @@
      * @param address the address of the worker, of which only the port is stored
      * @param draining whether the worker is about to leave
      * @param capacity the total resources of the worker
-     * @param born when the worker booted, in milliseconds since 1970
+     * @param bootUnixMillis when the worker booted, in milliseconds since 1970
      * @return the encoded entry
      */
     static byte[] encode(
@@ -68,9 +68,9 @@
             InetSocketAddress address,
             boolean draining,
             Resources capacity,
-            long born) {
+            long bootUnixMillis) {
         return StoredValues.write(
-                new Entry(id, service, address.getPort(), draining, capacity, born));
+                new Entry(id, service, address.getPort(), draining, capacity, bootUnixMillis));
     }
 
     /**
@@ -81,8 +81,13 @@
      * @param port the port of the worker on the loopback address
      * @param draining whether the worker is about to leave
      * @param capacity the total resources of the worker
-     * @param born when the worker booted, in milliseconds since 1970
+     * @param bootUnixMillis when the worker booted, in milliseconds since 1970
      */
     public record Entry(
-            String id, String service, int port, boolean draining, Resources capacity, long born) {}
+            String id,
+            String service,
+            int port,
+            boolean draining,
+            Resources capacity,
+            long bootUnixMillis) {}
 }
