--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FaultInjectingWorkerClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FaultInjectingWorkerClient.java
@@ -16,8 +16,8 @@
 import org.damasktiller.standin.metadata.FaultPlan;
 
 /**
- * The connections of one process to simulated workers. Calls take time, and a plan decides which of
- * them fail and how.
+ * The connections of one process to simulated workers. Each call has a network latency and the
+ * fault that a {@link FaultPlan} decides for it.
  */
 public final class FaultInjectingWorkerClient implements WorkerClient {
 
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/SimulatedWorker.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/SimulatedWorker.java
@@ -50,9 +50,9 @@
     private final RunObserver observer;
 
     /** The active runs by task, in the order in which they started. */
-    private final Map<TaskId, SimulatedRun> active = new LinkedHashMap<>();
+    private final Map<TaskId, SimulatedRun> activeRuns = new LinkedHashMap<>();
 
-    /** The highest number of a stopped or ended run by task; starts of lower runs are refused. */
+    /** The highest number of a stopped or ended run by task; a start must have a higher one. */
     private final Map<TaskId, Integer> highestEndedRun = new HashMap<>();
 
     /** The ended runs that have not been acknowledged, in the order of their sequence numbers. */
@@ -102,11 +102,11 @@
     /** Crashes the worker. All active runs end without being reported to the scheduler. */
     public void crash() {
         alive = false;
-        for (SimulatedRun run : new ArrayList<>(active.values())) {
+        for (SimulatedRun run : new ArrayList<>(activeRuns.values())) {
             run.hasEnded = true;
             observer.ended(id, run.task, run.number, null);
         }
-        active.clear();
+        activeRuns.clear();
     }
 
     /** Restarts the worker with a new boot time and without any state of its previous boot. */
@@ -164,7 +164,7 @@
      * @return the number of runs that have started and not ended
      */
     public int activeRunCount() {
-        return active.size();
+        return activeRuns.size();
     }
 
     /**
@@ -178,7 +178,7 @@
             return reply(WorkerStatus.FENCED);
         }
         highestToken = request.fencingToken();
-        SimulatedRun running = active.get(request.task());
+        SimulatedRun running = activeRuns.get(request.task());
         if (running != null && running.number == request.run()) {
             return reply(WorkerStatus.OK);
         }
@@ -195,7 +195,7 @@
         }
         SimulatedRun run =
                 new SimulatedRun(request.task(), request.run(), reserved, runtime.nowMillis());
-        active.put(request.task(), run);
+        activeRuns.put(request.task(), run);
         observer.started(id, request.task(), request.run());
         long duration = behaviour.durationMillis(id, request.task());
         if (duration != TaskBehaviour.RUNS_UNTIL_STOPPED) {
@@ -218,7 +218,7 @@
         }
         highestToken = fencingToken;
         highestEndedRun.merge(task, run, Math::max);
-        SimulatedRun running = active.get(task);
+        SimulatedRun running = activeRuns.get(task);
         if (running != null && running.number <= run) {
             runtime.schedule(STOP_DURATION_MILLIS, () -> end(running, EndKind.STOPPED));
         }
@@ -246,7 +246,7 @@
         }
         endedRuns.removeIf(end -> end.sequence() <= request.acknowledgedSequence());
         List<ActiveRun> running = new ArrayList<>();
-        for (SimulatedRun run : active.values()) {
+        for (SimulatedRun run : activeRuns.values()) {
             running.add(new ActiveRun(run.task, run.number, "", progress(run), 0));
         }
         return new WorkerReply(
@@ -306,7 +306,7 @@
     /** Ends all active runs if the lease has expired. */
     private void endRunsIfLeaseExpired() {
         if (clockMillis() >= leaseEndMillis) {
-            for (SimulatedRun run : new ArrayList<>(active.values())) {
+            for (SimulatedRun run : new ArrayList<>(activeRuns.values())) {
                 end(run, EndKind.LAPSED);
             }
         }
@@ -323,7 +323,7 @@
             return;
         }
         run.hasEnded = true;
-        active.remove(run.task);
+        activeRuns.remove(run.task);
         highestEndedRun.merge(run.task, run.number, Math::max);
         lastEndSequence++;
         endedRuns.add(new EndedRun(lastEndSequence, run.task, run.number, kind, ""));
@@ -337,7 +337,7 @@
      */
     private Resources reservedResources() {
         Resources sum = Resources.NONE;
-        for (SimulatedRun run : active.values()) {
+        for (SimulatedRun run : activeRuns.values()) {
             sum = sum.plus(run.reserved);
         }
         return sum;
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FaultInjectingStoreClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/metadata/FaultInjectingStoreClient.java
@@ -14,8 +14,8 @@
 import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
- * The connection of one process to a {@link InMemoryStore}. Calls take time, and a plan decides
- * which of them fail and how.
+ * The connection of one process to an {@link InMemoryStore}. Each call has a network latency and
+ * the fault that a {@link FaultPlan} decides for it.
  */
 public final class FaultInjectingStoreClient implements MetadataStore {
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
@@ -146,10 +146,10 @@
 
     /**
      * Compacting the store forces new listings, which may be older than the removal of a completed
-     * job. Such a listing must not make the owner start the job again.
+     * submission. Such a listing must not make the owner start the submission again.
      */
     @Test
-    void completedJobIsNotRestartedByAnOlderListing() {
+    void completedSubmissionIsNotRestartedByAnOlderListing() {
         CellSimulation simulation = new CellSimulation(8);
         simulation.startOwner();
         simulation.runtime.advance(100);
@@ -247,11 +247,11 @@
     void firstHeartbeatAfterARestartAcknowledgesNothing() {
         CellSimulation simulation = new CellSimulation(1);
         simulation.taskDurationMillis = 30;
-        AtomicBoolean crashes = new AtomicBoolean();
+        AtomicBoolean restartPending = new AtomicBoolean();
         simulation.startOwner(
                 FaultPlan.NO_FAULTS,
                 call -> {
-                    if (call.equals("start") && crashes.getAndSet(false)) {
+                    if (call.equals("start") && restartPending.getAndSet(false)) {
                         simulation.workers.get("w0").boot();
                         return CallFault.ANSWER_LOST;
                     }
@@ -260,7 +260,7 @@
         simulation.runtime.advance(500);
         simulation.submit("00000000000000a9", CellSimulation.shortStep(3));
         simulation.runtime.advance(2_000);
-        crashes.set(true);
+        restartPending.set(true);
         simulation.submit(SUBMISSION, CellSimulation.shortStep(1));
         simulation.runtime.advance(20_000);
         assertThat(simulation.invariants.violations(), empty());
