--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionState.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/model/SubmissionState.java
@@ -1,6 +1,6 @@
 package org.damasktiller.scheduler.model;
 
-/** The state of a submission as reported to callers. Stored and sent under the constant's name. */
+/** The state of a submission as reported to callers. Stored under the constant's name. */
 public enum SubmissionState {
     /** The submission is accepted, and no task has started. */
     QUEUED,
