--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -154,7 +154,7 @@
     }
 
     /**
-     * Stops the watches when the term has ended.
+     * Stops the watchers when the term has ended and passes the reason on.
      *
      * @param reason why the term ended
      * @param listener called with the reason
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellSettings.java
@@ -12,7 +12,7 @@
     private final long storeLeaseMillis;
 
     /**
-     * How long after an ownership check the owner may still extend worker leases, in milliseconds.
+     * How long worker leases may last after the last successful ownership check, in milliseconds.
      */
     private final long ownershipValidityMillis;
 
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Returns how long after a successful ownership check the owner may still extend worker leases.
+     * Returns how long worker leases may last after the last successful ownership check.
      *
      * @return the time, in milliseconds
      */
@@ -260,8 +260,7 @@
         }
 
         /**
-         * Sets how long after a successful ownership check the owner may still extend worker
-         * leases.
+         * Sets how long worker leases may last after the last successful ownership check.
          *
          * @param millis the time, in milliseconds
          * @return this builder
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -225,9 +225,9 @@
     }
 
     /**
-     * Handles a conflict. If the head key is unchanged, the condition on a finished job has failed;
-     * the batch is dissolved and its jobs are queued again, finished ones after their record was
-     * checked.
+     * Handles a conflict. If the head key is unchanged, the record of a finished job has changed.
+     * The jobs of the batch are then queued again, a finished job only if its own record is
+     * unchanged. Otherwise the head record shows whether the batch was stored.
      *
      * @param batch the batch
      * @param reply the current items, or null if the answer did not include them
@@ -419,7 +419,8 @@
         private final Map<Job, Long> versions = new LinkedHashMap<>();
 
         /**
-         * The workers in the roster that the batch stores, empty if it does not store the roster.
+         * The cell's workers in the roster that the batch stores, empty if it does not store the
+         * roster.
          */
         private final List<WorkerRecord> rosterWorkers = new ArrayList<>();
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -4,10 +4,10 @@
  * Computes when leases expire: on the worker's clock for the orders to the worker, and on the
  * owner's clock to decide when a worker has certainly stopped its runs.
  *
- * <p>A lease ends at most the authority time after a reading of the worker's clock that was taken
- * before the last successful ownership check. The term of a successor begins after that check. The
- * successor therefore has to wait only for the authority time from the start of its own term until
- * all earlier leases have expired, however long its predecessor was paused between computing a
+ * <p>A lease ends at most {@link CellSettings#ownershipValidityMillis} after a reading of the
+ * worker's clock that was taken before the last successful ownership check. The term of a successor
+ * begins after that check. All earlier leases have therefore expired once the same time has passed
+ * since the successor's term began, however long its predecessor was paused between computing a
  * lease and sending it.
  */
 final class LeaseCalculator {
@@ -21,13 +21,13 @@
     /** Added to each waiting time against rounding, in milliseconds. */
     private static final long ROUNDING_MARGIN_MILLIS = 50;
 
-    /** The lease and authority times. */
+    /** Defines how long leases last and how long an ownership check is valid. */
     private final CellSettings settings;
 
     /**
      * Creates a calculator.
      *
-     * @param settings the lease and authority times
+     * @param settings defines how long leases last and how long an ownership check is valid
      */
     LeaseCalculator(CellSettings settings) {
         this.settings = settings;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -44,7 +44,7 @@
     /** Sends stop orders. */
     private final RunOrders orders;
 
-    /** Called after each poll. */
+    /** Called after each answered or failed poll. */
     private final Listener listener;
 
     /**
@@ -53,7 +53,7 @@
      * @param context the shared state of the cell's owner
      * @param book applies run ends to jobs
      * @param orders sends stop orders
-     * @param listener called after each poll
+     * @param listener called after each answered or failed poll
      */
     WorkerPoller(CellContext context, JobBook book, RunOrders orders, Listener listener) {
         this.context = context;
@@ -324,7 +324,7 @@
         }
     }
 
-    /** Called after each poll. */
+    /** Called after each answered or failed poll. */
     interface Listener {
 
         /**
