--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -32,7 +32,7 @@
     final MetadataStore store;
 
     /** Sends calls to workers. */
-    final WorkerCalls calls;
+    final WorkerCalls workerCalls;
 
     /** The clock and the timers. */
     final ProcessRuntime runtime;
@@ -94,7 +94,7 @@
         this.term = term;
         this.settings = environment.settings();
         this.store = environment.store();
-        this.calls = environment.calls();
+        this.workerCalls = environment.workerCalls();
         this.runtime = environment.runtime();
         this.log = environment.log();
         this.manifest = environment.manifest();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -13,8 +13,8 @@
  *
  * @param settings the intervals and limits
  * @param store the metadata store
- * @param calls sends calls to workers
- * @param advice sends requests to the advice service
+ * @param workerCalls sends calls to workers
+ * @param adviceCalls sends requests to the advice service
  * @param formats decodes the records that the platform keeps in the store
  * @param runtime the clock and the timers
  * @param log the log of scheduling decisions
@@ -23,8 +23,8 @@
 public record CellEnvironment(
         CellSettings settings,
         MetadataStore store,
-        WorkerCalls calls,
-        AdviceCalls advice,
+        WorkerCalls workerCalls,
+        AdviceCalls adviceCalls,
         PlatformFormats formats,
         ProcessRuntime runtime,
         DecisionLog log,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -100,7 +100,7 @@
         poller = new WorkerPoller(context, book, orders, new PollListener());
         fillers = new FillerControl(context, orders, new PairEffects());
         AdviceTicketProvider advice =
-                new AdviceTicketProvider(context, environment.advice(), this::schedulePass);
+                new AdviceTicketProvider(context, environment.adviceCalls(), this::schedulePass);
         Placement placement = new Placement(context, fillers, advice);
         stragglers = new StragglerControl(context, placement, orders, runTimes);
         drainController = new DrainController(context, orders, runTimes);
@@ -235,7 +235,7 @@
      */
     private void tick() {
         long now = context.now();
-        boolean changed = false;
+        boolean rosterChanged = false;
         for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
             poller.expireRuns(worker);
             drainController.update(worker);
@@ -245,10 +245,10 @@
                 context.workers.remove(worker.id);
                 context.unfencedWorkerIds.remove(worker.id);
                 context.log.log("worker.gone", "worker", worker.id);
-                changed = true;
+                rosterChanged = true;
             }
         }
-        if (changed) {
+        if (rosterChanged) {
             commits.enqueueRoster();
         }
         checkPreviousOwners();
@@ -418,7 +418,7 @@
         public void onUpdated(WorkerRecord worker, WorkerEntry previousEntry) {
             long born = worker.entry.bornUnixMillis();
             if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
-                poller.onRestart(worker, born);
+                poller.resetAfterRestart(worker, born);
             }
             poller.poll(worker);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -217,8 +217,8 @@
             return;
         }
         switch (result.status()) {
-            case OK -> onBatchStored(batch, result.require().revision());
-            case CONFLICT -> onConflict(batch, result.value());
+            case OK -> completeBatch(batch, result.require().revision());
+            case CONFLICT -> handleConflict(batch, result.value());
             case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(batch));
             default -> context.schedule(RETRY_MILLIS, this::sendBatch);
         }
@@ -232,7 +232,7 @@
      * @param batch the batch
      * @param reply the current items, or null if the answer did not include them
      */
-    private void onConflict(Batch batch, @Nullable CommitReply reply) {
+    private void handleConflict(Batch batch, @Nullable CommitReply reply) {
         context.log.log(
                 "commit.conflict",
                 "cell",
@@ -240,7 +240,7 @@
                 "sequence",
                 batch.sequence,
                 "jobs",
-                batch.versions.size(),
+                batch.jobVersions.size(),
                 "conditions",
                 batch.commit.expected().size(),
                 "told",
@@ -250,7 +250,7 @@
             return;
         }
         batchInFlight = null;
-        for (Job job : batch.versions.keySet()) {
+        for (Job job : batch.jobVersions.keySet()) {
             if (job.state.isFinal()) {
                 checkRecord(job);
             } else {
@@ -331,7 +331,7 @@
         if (item == null || head == null || head.generation() != context.term.generation()) {
             context.endTerm("the head belongs to another generation");
         } else if (head.sequence() == batch.sequence) {
-            onBatchStored(batch, item.revision());
+            completeBatch(batch, item.revision());
         } else if (item.revision() == headRevision) {
             sendBatch();
         } else {
@@ -346,10 +346,10 @@
      * @param batch the batch
      * @param revision the revision of the head key that the batch wrote
      */
-    private void onBatchStored(Batch batch, long revision) {
+    private void completeBatch(Batch batch, long revision) {
         batchInFlight = null;
         headRevision = revision;
-        batch.versions.forEach(
+        batch.jobVersions.forEach(
                 (job, version) -> {
                     job.committedVersion = Math.max(job.committedVersion, version);
                     if (job.state.isFinal() && job.committedVersion == job.version) {
@@ -416,7 +416,7 @@
         private final Commit commit = new Commit();
 
         /** The jobs that the batch stores, each with the version that is stored. */
-        private final Map<Job, Long> versions = new LinkedHashMap<>();
+        private final Map<Job, Long> jobVersions = new LinkedHashMap<>();
 
         /**
          * The cell's workers in the roster that the batch stores, empty if it does not store the
@@ -439,7 +439,7 @@
          * @param job the job
          */
         void add(Job job) {
-            versions.put(job, job.version);
+            jobVersions.put(job, job.version);
         }
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunOrders.java
@@ -101,7 +101,7 @@
                 worker.free(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        context.calls.start(worker.address(), order, reply -> onStart(record, reply));
+        context.workerCalls.start(worker.address(), order, reply -> onStart(record, reply));
     }
 
     /**
@@ -201,7 +201,7 @@
             return;
         }
         record.stopSent = true;
-        context.calls.stop(
+        context.workerCalls.stop(
                 record.worker.address(),
                 record.id,
                 record.run,
@@ -251,7 +251,7 @@
         record.pacedAtMillis = context.now();
         int wanted = record.wantedPercent;
         record.slowed |= wanted < RunRecord.FULL_PERCENT;
-        context.calls.pace(
+        context.workerCalls.pace(
                 record.worker.address(),
                 record.id,
                 record.run,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -77,9 +77,10 @@
         worker.lookNumber++;
         long pollNumber = worker.lookNumber;
         long now = context.now();
-        boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
+        boolean awaitingOwnershipCheck =
+                !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerCalls.NO_LEASE;
-        if (!first && worker.missedLooks == 0) {
+        if (!awaitingOwnershipCheck && worker.missedLooks == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
             context.leases.recordGrant(worker, leaseEnd, now);
         }
@@ -90,7 +91,8 @@
                         context.term.generation(),
                         sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
                         sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
-        context.calls.hold(worker.address(), order, reply -> onReply(worker, pollNumber, reply));
+        context.workerCalls.hold(
+                worker.address(), order, reply -> onReply(worker, pollNumber, reply));
     }
 
     /**
@@ -118,7 +120,7 @@
         }
         long now = context.now();
         if (worker.bornUnixMillis != 0 && reply.bornUnixMillis() > worker.bornUnixMillis) {
-            onRestart(worker, reply.bornUnixMillis());
+            resetAfterRestart(worker, reply.bornUnixMillis());
         }
         worker.bornUnixMillis = reply.bornUnixMillis();
         worker.clockMillis = reply.clockMillis();
@@ -143,7 +145,7 @@
      * @param worker the worker
      * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
-    void onRestart(WorkerRecord worker, long bornUnixMillis) {
+    void resetAfterRestart(WorkerRecord worker, long bornUnixMillis) {
         context.log.log(
                 "worker.restarted",
                 "worker",
@@ -199,7 +201,7 @@
             if (complete
                     && !listedKeys.contains(record.key())
                     && pollNumber >= record.settledAfterLook) {
-                onMissingRun(record);
+                handleMissingRun(record);
             }
         }
     }
@@ -287,7 +289,7 @@
      *
      * @param record the run
      */
-    private void onMissingRun(RunRecord record) {
+    private void handleMissingRun(RunRecord record) {
         switch (record.phase) {
             case UNCERTAIN -> orders.stop(record);
             case STOPPING -> {
