--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -17,12 +17,12 @@
 final class AdviceTicketProvider {
 
     /**
-     * The most workers in one call; a longer call would use up too much of a submission's
+     * The most workers in one call; a longer call would use up too much of a submission's latency
      * objective.
      */
     private static final int MAX_WORKERS_PER_REQUEST = 30;
 
-    /** The delay before the next call after one that got no answer, in milliseconds. */
+    /** The delay before the next request after one that got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 150;
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -22,7 +22,7 @@
     /** The name of the cell. */
     final String cell;
 
-    /** The term for which this node owns the cell. */
+    /** The term for which this process owns the cell. */
     final CellTerm term;
 
     /** The intervals and limits. */
@@ -47,7 +47,8 @@
     final Map<String, Job> jobs = new LinkedHashMap<>();
 
     /**
-     * The workers of the cell, by worker identifier; unlisted ones stay until nothing runs there.
+     * The workers of the cell, by worker identifier. An unlisted worker stays until nothing runs
+     * there and its leases have expired.
      */
     final Map<String, WorkerRecord> workers = new LinkedHashMap<>();
 
@@ -85,7 +86,7 @@
      *
      * @param environment the ports, the settings and the current manifest
      * @param cell the name of the cell
-     * @param term the term for which this node owns the cell
+     * @param term the term for which this process owns the cell
      * @param onTermEnd called once with the reason when the term ends
      */
     CellContext(
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -12,7 +12,10 @@
  */
 final class DrainController {
 
-    /** How long before the worker leaves its checkpointing runs are stopped, in milliseconds. */
+    /**
+     * The remaining time of a draining worker below which its checkpointing runs are stopped, in
+     * milliseconds.
+     */
     private static final long CHECKPOINT_STOP_LEAD_MILLIS = 1_000;
 
     /** The shared state of the cell's owner. */
