--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -217,22 +217,22 @@
             return;
         }
         switch (result.status()) {
-            case OK -> onBatchStored(batch, result.require().revision());
-            case CONFLICT -> onConflict(batch, result.value());
+            case OK -> completeBatch(batch, result.require().revision());
+            case CONFLICT -> handleConflict(batch, result.value());
             case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(batch));
             default -> context.schedule(RETRY_MILLIS, this::sendBatch);
         }
     }
 
     /**
-     * Handles a conflict. If the head key is unchanged, the condition on a finished job has failed;
-     * the batch is dissolved and its jobs are queued again, finished ones after their record was
-     * checked.
+     * Handles a conflict. If the head key is unchanged, the record of a finished job has changed.
+     * The jobs of the batch are then queued again, a finished job only if its own record is
+     * unchanged. Otherwise the head record shows whether the batch was stored.
      *
      * @param batch the batch
      * @param reply the current items, or null if the answer did not include them
      */
-    private void onConflict(Batch batch, @Nullable CommitReply reply) {
+    private void handleConflict(Batch batch, @Nullable CommitReply reply) {
         context.log.log(
                 "commit.conflict",
                 "cell",
@@ -240,7 +240,7 @@
                 "sequence",
                 batch.sequence,
                 "jobs",
-                batch.versions.size(),
+                batch.jobVersions.size(),
                 "conditions",
                 batch.commit.expectedRevisions().size(),
                 "told",
@@ -250,7 +250,7 @@
             return;
         }
         batchInFlight = null;
-        for (Job job : batch.versions.keySet()) {
+        for (Job job : batch.jobVersions.keySet()) {
             if (job.state.isFinal()) {
                 checkRecord(job);
             } else {
@@ -331,7 +331,7 @@
         if (item == null || head == null || head.generation() != context.term.generation()) {
             context.endTerm("the head belongs to another generation");
         } else if (head.sequence() == batch.sequence) {
-            onBatchStored(batch, item.revision());
+            completeBatch(batch, item.revision());
         } else if (item.revision() == headRevision) {
             sendBatch();
         } else {
@@ -346,10 +346,10 @@
      * @param batch the batch
      * @param revision the revision of the head key that the batch wrote
      */
-    private void onBatchStored(Batch batch, long revision) {
+    private void completeBatch(Batch batch, long revision) {
         batchInFlight = null;
         headRevision = revision;
-        batch.versions.forEach(
+        batch.jobVersions.forEach(
                 (job, version) -> {
                     job.committedVersion = Math.max(job.committedVersion, version);
                     if (job.state.isFinal() && job.committedVersion == job.version) {
@@ -416,10 +416,11 @@
         private final StoreTransaction commit = new StoreTransaction();
 
         /** The jobs that the batch stores, each with the version that is stored. */
-        private final Map<Job, Long> versions = new LinkedHashMap<>();
+        private final Map<Job, Long> jobVersions = new LinkedHashMap<>();
 
         /**
-         * The workers in the roster that the batch stores, empty if it does not store the roster.
+         * The cell's workers in the roster that the batch stores, empty if it does not store the
+         * roster.
          */
         private final List<WorkerRecord> rosterWorkers = new ArrayList<>();
 
@@ -438,7 +439,7 @@
          * @param job the job
          */
         void add(Job job) {
-            versions.put(job, job.version);
+            jobVersions.put(job, job.version);
         }
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -112,7 +112,7 @@
                 worker.free(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        context.calls.start(worker.address(), order, reply -> onStartReply(record, reply));
+        context.workerCalls.start(worker.address(), order, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -212,7 +212,7 @@
             return;
         }
         record.stopRequestInFlight = true;
-        context.calls.stop(
+        context.workerCalls.stop(
                 record.worker.address(),
                 record.id,
                 record.run,
@@ -263,7 +263,7 @@
         record.cpuLimitSentAtMillis = context.now();
         int wantedPercent = record.wantedCpuLimitPercent;
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
-        context.calls.throttle(
+        context.workerCalls.throttle(
                 record.worker.address(),
                 record.id,
                 record.run,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -44,7 +44,7 @@
     /** Sends stop orders. */
     private final RunRequestSender requestSender;
 
-    /** Called after each poll. */
+    /** Called after each answered or failed poll. */
     private final Listener listener;
 
     /**
@@ -53,7 +53,7 @@
      * @param context the shared state of the cell's owner
      * @param jobTracker applies run ends to jobs
      * @param requestSender sends stop orders
-     * @param listener called after each poll
+     * @param listener called after each answered or failed poll
      */
     WorkerPoller(
             CellContext context,
@@ -81,9 +81,10 @@
         worker.lookNumber++;
         long pollNumber = worker.lookNumber;
         long now = context.now();
-        boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
+        boolean awaitingOwnershipCheck =
+                !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerClient.LEASE_UNCHANGED;
-        if (!first && worker.missedLooks == 0) {
+        if (!awaitingOwnershipCheck && worker.missedLooks == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
             context.leases.recordGrant(worker, leaseEnd, now);
         }
@@ -94,7 +95,7 @@
                         context.term.generation(),
                         sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
                         sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
-        context.calls.heartbeat(
+        context.workerCalls.heartbeat(
                 worker.address(), order, reply -> onReply(worker, pollNumber, reply));
     }
 
@@ -123,7 +124,7 @@
         }
         long now = context.now();
         if (worker.bornUnixMillis != 0 && reply.bootUnixMillis() > worker.bornUnixMillis) {
-            onRestart(worker, reply.bootUnixMillis());
+            resetAfterRestart(worker, reply.bootUnixMillis());
         }
         worker.bornUnixMillis = reply.bootUnixMillis();
         worker.clockMillis = reply.clockMillis();
@@ -148,7 +149,7 @@
      * @param worker the worker
      * @param bornUnixMillis when the new boot began, in milliseconds since 1970
      */
-    void onRestart(WorkerRecord worker, long bornUnixMillis) {
+    void resetAfterRestart(WorkerRecord worker, long bornUnixMillis) {
         context.log.log(
                 "worker.restarted",
                 "worker",
@@ -204,7 +205,7 @@
             if (complete
                     && !listedKeys.contains(record.key())
                     && pollNumber >= record.firstConclusivePoll) {
-                onMissingRun(record);
+                handleMissingRun(record);
             }
         }
     }
@@ -292,7 +293,7 @@
      *
      * @param record the run
      */
-    private void onMissingRun(RunRecord record) {
+    private void handleMissingRun(RunRecord record) {
         switch (record.phase) {
             case UNCERTAIN -> requestSender.stop(record);
             case STOPPING -> {
@@ -331,7 +332,7 @@
         }
     }
 
-    /** Called after each poll. */
+    /** Called after each answered or failed poll. */
     interface Listener {
 
         /**
