--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionAcceptor.java
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Stores a submission and responds shortly before the caller's deadline at the latest.
+     * Stores a submission and responds, at the latest shortly before the caller's deadline.
      *
      * @param request the request
      * @param submission the submission to store
@@ -110,7 +110,10 @@
         /** When the request arrived, on the monotonic clock, in milliseconds. */
         private final long startMillis;
 
-        /** Whether the store did not respond to some write, which it may still apply. */
+        /**
+         * Whether some write had no response, so that the store may have applied it or may still do
+         * so.
+         */
         private boolean uncertain;
 
         /** Whether the response has been sent to the caller. */
@@ -146,7 +149,9 @@
                             .put(CellKeys.inbox(cell) + request.id(), accepted);
         }
 
-        /** Sends the transaction and schedules the response for the case that it takes too long. */
+        /**
+         * Sends the transaction, and schedules a response for the case that the store is too slow.
+         */
         void start() {
             long responseDueMillis =
                     Math.min(
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
@@ -207,7 +207,8 @@
     }
 
     /**
-     * Handles the result of a cancellation.
+     * Handles the result of a cancellation. After a failure the record is read again, which also
+     * shows whether a write without a response has been applied.
      *
      * @param request the request
      * @param callback the callback for the response
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -23,16 +23,18 @@
  */
 public final class CellElection {
 
-    /** The delay of an attempt for each rank below the first, in milliseconds. */
+    /**
+     * An attempt is delayed by this time multiplied by the rank of the process, in milliseconds.
+     */
     private static final long RANK_DELAY_MILLIS = 200;
 
-    /** The cell. */
+    /** The name of the cell. */
     private final String cell;
 
     /** The availability zone of the cell, empty if the cell spans all zones. */
     private final String zone;
 
-    /** This process. */
+    /** The identity of this process. */
     private final NodeIdentity identity;
 
     /** The store. */
@@ -60,17 +62,17 @@
     private boolean ownsCell;
 
     /**
-     * When this process first saw the cell without an owner, on the monotonic clock, in
-     * milliseconds; -1 while the cell has an owner.
+     * When this process first saw the cell as vacant after its last owner, on the monotonic clock,
+     * in milliseconds; -1 while it has not.
      */
     private long vacantSinceMillis = -1;
 
     /**
      * Creates an election; no attempt is made before {@link #attemptIfVacant} is called.
      *
-     * @param cell the cell
+     * @param cell the name of the cell
      * @param zone the availability zone of the cell, empty if the cell spans all zones
-     * @param identity this process
+     * @param identity the identity of this process
      * @param context the shared dependencies
      * @param termListener notified when this process becomes the owner
      */
@@ -201,7 +203,7 @@
         }
     }
 
-    /** Is notified when this process becomes the owner of the cell. */
+    /** Receives a notification when this process becomes the owner of the cell. */
     interface TermListener {
 
         /**
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -27,7 +27,7 @@
  */
 public final class ClusterMember {
 
-    /** The interval at which vacant cells are looked for, in milliseconds. */
+    /** The interval at which the process tries to win vacant cells, in milliseconds. */
     private static final long ELECTION_INTERVAL_MILLIS = 100;
 
     /** The interval at which the registration of this process is checked, in milliseconds. */
@@ -66,7 +66,7 @@
     /** Reads and writes the platform's record formats. */
     private final PlatformFormats formats;
 
-    /** The election of each cell in the current and earlier manifests, by the cell's name. */
+    /** The elections of all cells of the current and earlier manifests, by the cell's name. */
     private final Map<String, CellElection> elections = new HashMap<>();
 
     /** The owners of the cells that this process has won, by the cell's name. */
@@ -134,10 +134,13 @@
         Map<String, CellOwner> ownersToStop = new HashMap<>(owners);
         ownersToStop.forEach(
                 (cell, owner) -> {
+                    // Read before stop, which removes the term.
                     CellTerm term = terms.get(cell);
                     owner.stop("the process is leaving the cluster");
                     CellElection election = elections.get(cell);
                     if (term != null && election != null) {
+                        // One transaction wrote the owner key and the head key, so that both had
+                        // this revision when the term began.
                         election.resign(term.headRevision());
                     }
                 });
@@ -301,13 +304,15 @@
         owners.put(cell, owner);
         terms.put(cell, term);
         owner.start();
+        // The process may have begun to leave while the attempt was pending.
         if (leaving) {
             leave();
         }
     }
 
     /**
-     * Removes the owner of a cell whose term has ended.
+     * Removes the owner of a cell whose term has ended, for whatever reason, and allows new
+     * attempts to win the cell.
      *
      * @param cell the cell's name
      */
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
@@ -38,7 +38,7 @@
     /** The requested duration of the lease without a renewal, in milliseconds. */
     private final long leaseDurationMillis;
 
-    /** The identifier of the current lease, or NONE. */
+    /** The identifier of the current lease, or NO_LEASE. */
     private long leaseId = NO_LEASE;
 
     /**
@@ -97,7 +97,7 @@
     /**
      * Returns the identifier of the current lease.
      *
-     * @return the identifier, or NONE if no lease is held
+     * @return the identifier, or NO_LEASE if no lease is held
      */
     public long leaseId() {
         return leaseId;
--- a/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
@@ -10,8 +10,8 @@
 
 /**
  * Derives metrics from log events before it passes them on: a counter for each event name, and a
- * histogram for each route and each field that holds a duration. Events whose lines the log drops
- * are counted, too. Used on one thread only.
+ * histogram for each event name, duration field and route. Events whose lines the log drops are
+ * counted, too. Used on one thread only.
  */
 public final class EventMetrics implements DecisionLog {
 
