--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -58,10 +58,10 @@
     private final ClusterContext context;
 
     /** The calls to workers. */
-    private final WorkerCalls calls;
+    private final WorkerCalls workerCalls;
 
     /** The calls to the advice service. */
-    private final AdviceCalls advice;
+    private final AdviceCalls adviceCalls;
 
     /** Reads and writes the platform's record formats. */
     private final PlatformFormats formats;
@@ -93,8 +93,8 @@
      * @param layout maps services and zones to cells
      * @param settings the settings of the cells
      * @param store the store
-     * @param calls the calls to workers
-     * @param advice the calls to the advice service
+     * @param workerCalls the calls to workers
+     * @param adviceCalls the calls to the advice service
      * @param formats reads and writes the platform's record formats
      * @param runtime the clock and the timers
      * @param log the log
@@ -104,16 +104,16 @@
             CellLayout layout,
             CellSettings settings,
             MetadataStore store,
-            WorkerCalls calls,
-            AdviceCalls advice,
+            WorkerCalls workerCalls,
+            AdviceCalls adviceCalls,
             PlatformFormats formats,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.identity = identity;
         this.layout = layout;
         this.settings = settings;
-        this.calls = calls;
-        this.advice = advice;
+        this.workerCalls = workerCalls;
+        this.adviceCalls = adviceCalls;
         this.formats = formats;
         StoreSession session = new StoreSession(store, runtime, log, settings.storeLeaseMillis());
         ClusterView view = new ClusterView(store, runtime, log, this::attemptElections);
@@ -280,20 +280,20 @@
      * @param term the term that begins
      */
     private void startTerm(String cell, CellTerm term) {
-        Manifest inForce = manifest;
-        if (inForce == null) {
+        Manifest currentManifest = manifest;
+        if (currentManifest == null) {
             return;
         }
         CellEnvironment environment =
                 new CellEnvironment(
                         settings,
                         context.store(),
-                        calls,
-                        advice,
+                        workerCalls,
+                        adviceCalls,
                         formats,
                         context.runtime(),
                         context.log(),
-                        inForce);
+                        currentManifest);
         CellOwner owner =
                 new CellOwner(
                         environment,
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -38,7 +38,7 @@
     private final Map<String, Owner> owners = new HashMap<>();
 
     /** The pending counts by the name of the cell. */
-    private final Map<String, PendingRecord> pending = new HashMap<>();
+    private final Map<String, PendingRecord> pendingByCell = new HashMap<>();
 
     /** The registered processes by the name of the VM. */
     private final Map<String, NodeRecord> nodes = new HashMap<>();
@@ -103,7 +103,7 @@
      * @return the number over all cells
      */
     public int pendingCount(String route) {
-        return pending.values().stream()
+        return pendingByCell.values().stream()
                 .mapToInt(record -> record.byRoute().getOrDefault(route, 0))
                 .sum();
     }
@@ -111,7 +111,7 @@
     @Override
     public void onSnapshot(List<StoreItem> items, long highestRevision) {
         owners.clear();
-        pending.clear();
+        pendingByCell.clear();
         nodes.clear();
         for (StoreItem item : items) {
             put(item);
@@ -150,7 +150,7 @@
         } else if (key.startsWith(CellKeys.PENDING)) {
             PendingRecord record = StoredValues.read(item.value(), PendingRecord.class);
             if (record != null) {
-                pending.put(key.substring(CellKeys.PENDING.length()), record);
+                pendingByCell.put(key.substring(CellKeys.PENDING.length()), record);
             }
         } else if (key.startsWith(NODE_PREFIX)) {
             NodeRecord record = StoredValues.read(item.value(), NodeRecord.class);
@@ -169,7 +169,7 @@
         if (key.startsWith(CellKeys.OWNERS)) {
             owners.remove(key.substring(CellKeys.OWNERS.length()));
         } else if (key.startsWith(CellKeys.PENDING)) {
-            pending.remove(key.substring(CellKeys.PENDING.length()));
+            pendingByCell.remove(key.substring(CellKeys.PENDING.length()));
         } else if (key.startsWith(NODE_PREFIX)) {
             nodes.remove(key.substring(NODE_PREFIX.length()));
         }
--- a/damasktiller-node/src/test/java/org/damasktiller/node/cluster/ElectionRankTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/cluster/ElectionRankTest.java
@@ -18,18 +18,18 @@
                     new NodeRecord("near-2", "p", "b", true));
 
     @Test
-    void processesNearTheStoreComeFirst() {
+    void processesNearTheStoreRankFirst() {
         assertThat(ElectionRank.of("cell", "", NODES, "far-1"), equalTo(2));
         assertThat(ElectionRank.of("cell", "", NODES, "near-1"), lessThan(2));
     }
 
     @Test
-    void theCellOfAZoneGoesToItsZone() {
+    void processInTheZoneOfTheCellRanksFirst() {
         assertThat(ElectionRank.of("cell@c", "c", NODES, "far-1"), equalTo(0));
     }
 
     @Test
-    void aProcessThatIsNotSeenComesLast() {
+    void unregisteredProcessRanksLast() {
         assertThat(ElectionRank.of("cell", "", NODES, "new"), equalTo(3));
     }
 }
--- a/damasktiller-node/src/test/java/org/damasktiller/node/log/JsonLineLogTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/log/JsonLineLogTest.java
@@ -17,41 +17,41 @@
 final class JsonLineLogTest {
 
     @Test
-    void linesAreBoundedPerKindAndOthersStillPass() throws InterruptedException {
+    void linesAreLimitedPerEventAndOthersAreWritten() throws InterruptedException {
         Clock clock = Clock.fixed(Instant.ofEpochMilli(1_000_000), ZoneOffset.UTC);
         JsonLineLog log = new JsonLineLog("node-1", clock);
         for (int line = 0; line < 10_000; line++) {
             log.log("often", "number", line);
         }
         log.log("seldom", "id", "\"quoted\"");
-        Written written = new Written("seldom");
-        log.start(written);
-        written.found.await();
-        String text = written.text();
+        CapturingOutput output = new CapturingOutput("seldom");
+        log.start(output);
+        output.expectedTextWritten.await();
+        String text = output.text();
         assertThat(text.lines().filter(line -> line.contains("often")).count(), lessThan(401L));
         assertThat(text, containsString("\"id\":\"\\\"quoted\\\"\""));
         assertThat(text, containsString("\"node\":\"node-1\""));
     }
 
     /** Collects the output and signals when it contains a given text. */
-    private static final class Written extends OutputStream {
+    private static final class CapturingOutput extends OutputStream {
 
         /** The output so far. */
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
         /** The text to wait for. */
-        private final String wanted;
+        private final String expectedText;
 
         /** Counted down once the output contains the text. */
-        private final CountDownLatch found = new CountDownLatch(1);
+        private final CountDownLatch expectedTextWritten = new CountDownLatch(1);
 
         /**
          * Creates a stream.
          *
-         * @param wanted the text to wait for
+         * @param expectedText the text to wait for
          */
-        Written(String wanted) {
-            this.wanted = wanted;
+        CapturingOutput(String expectedText) {
+            this.expectedText = expectedText;
         }
 
         @Override
@@ -61,8 +61,8 @@
 
         @Override
         public synchronized void flush() {
-            if (text().contains(wanted)) {
-                found.countDown();
+            if (text().contains(expectedText)) {
+                expectedTextWritten.countDown();
             }
         }
 
--- a/damasktiller-node/src/test/java/org/damasktiller/node/metrics/EventMetricsTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/metrics/EventMetricsTest.java
@@ -12,9 +12,9 @@
 final class EventMetricsTest {
 
     @Test
-    void decisionsAreCountedAndTheirTimesKeptByRoute() {
-        List<String> passedOn = new ArrayList<>();
-        EventMetrics metrics = new EventMetrics((event, fields) -> passedOn.add(event));
+    void eventsAreCountedAndDurationsRecordedByRoute() {
+        List<String> delegatedEvents = new ArrayList<>();
+        EventMetrics metrics = new EventMetrics((event, fields) -> delegatedEvents.add(event));
         metrics.log("submission.answered", "id", "a", "route", "r1", "millis", 12L);
         metrics.log("submission.answered", "id", "b", "route", "r1", "millis", 30L);
         metrics.log("store.lost", "answeredAgo", 1_800L);
@@ -22,6 +22,6 @@
         assertThat(text, containsString("submission.answered.count 2\n"));
         assertThat(text, containsString("submission.answered.millis.r1.max 30\n"));
         assertThat(text, containsString("store.lost.count 1\n"));
-        assertThat(passedOn.size(), equalTo(3));
+        assertThat(delegatedEvents.size(), equalTo(3));
     }
 }
