--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -17,7 +17,7 @@
 import org.damasktiller.lab.settings.Settings;
 import org.damasktiller.lab.table.TableManifest;
 import org.damasktiller.lab.table.TableSession;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.settings.Addresses;
 import org.damasktiller.table.CellEdits;
 import org.damasktiller.table.EditId;
@@ -203,7 +203,7 @@
      * @param rows the table
      */
     private void printManifest(PrintStream output, OperatorTable rows) {
-        byte[] text = OperatorFormats.manifest(TableManifest.of(rows, service, version));
+        byte[] text = PlatformRecordEncoder.manifest(TableManifest.of(rows, service, version));
         output.println(new String(text, StandardCharsets.UTF_8));
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.damasktiller.node.process.Main;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.jspecify.annotations.Nullable;
 
 /** The program of one entry VM, run as a process of its own. */
@@ -63,7 +63,7 @@
         this.settings = directory.resolve(name + ".conf");
         this.log = directory.resolve(name + ".log");
         List<String> lines =
-                OperatorFormats.settings(name, zone, zones, callers, freeAddress(), store);
+                PlatformRecordEncoder.settings(name, zone, zones, callers, freeAddress(), store);
         try {
             Files.write(settings, lines);
         } catch (IOException exception) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -7,10 +7,10 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.platform.emulator.LoopbackServer;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.emulator.WorkerServlet;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.record.PlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.port.Commit;
@@ -30,7 +30,7 @@
     public static final String SERVICE = "workers";
 
     /** Names the keys that the operator and the workers write. */
-    static final PlatformRecords RECORDS = new PlatformRecords();
+    static final PlatformRecordDecoder RECORDS = new PlatformRecordDecoder();
 
     /** How late a late call is carried out, in milliseconds: well after a client gave up. */
     private static final long LATE_MILLIS = 3_000;
@@ -136,7 +136,7 @@
     public void manifest(Manifest base, List<Route> routes) {
         manifestVersion++;
         Manifest next = new Manifest(manifestVersion, routes, base.services(), base.limits());
-        store.commit(new Commit().put(RECORDS.manifestKey(), OperatorFormats.manifest(next)));
+        store.commit(new Commit().put(RECORDS.manifestKey(), PlatformRecordEncoder.manifest(next)));
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.damasktiller.lab.link.FaultyLink;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.damasktiller.scheduler.port.Commit;
@@ -118,7 +118,7 @@
                         capacity,
                         List.of("standard", rack),
                         model.bornUnixMillis());
-        store.commit(new Commit().put(key(), OperatorFormats.worker(entry)));
+        store.commit(new Commit().put(key(), PlatformRecordEncoder.worker(entry)));
     }
 
     /** Ends it at once: what runs on it is over, its entry goes, and it answers nothing. */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -8,7 +8,7 @@
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.identity.ZoneName;
 import org.damasktiller.lab.rig.LabLoop;
-import org.damasktiller.platform.call.PlatformCaller;
+import org.damasktiller.platform.call.JsonHttpClient;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.table.TableRepository;
 
@@ -31,7 +31,7 @@
      * @param zones the availability zones that the table may name
      */
     public TableSession(InetSocketAddress store, Set<ZoneName> zones) {
-        PlatformCaller caller = new PlatformCaller(loop.eventloop(), STORE_MILLIS);
+        JsonHttpClient caller = new JsonHttpClient(loop.eventloop(), STORE_MILLIS);
         MetadataKeyValueStore records =
                 new MetadataKeyValueStore(new HttpMetadataStore(caller, caller, store));
         repository = new TableRepository(records, zones, loop.runtime()::unixMillis, () -> 0);
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
@@ -5,8 +5,8 @@
 import static org.hamcrest.Matchers.is;
 
 import org.damasktiller.lab.rig.Deployment;
-import org.damasktiller.platform.emulator.OperatorFormats;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
+import org.damasktiller.platform.record.PlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.table.OperatorTable;
 import org.damasktiller.table.TableReader;
@@ -40,7 +40,7 @@
     @Test
     void entryVmsReadTheManifestThatIsPrinted() {
         Manifest manifest = TableManifest.of(table, "workers", 3);
-        byte[] text = OperatorFormats.manifest(manifest);
-        assertThat(new PlatformRecords().decodeManifest(text), is(manifest));
+        byte[] text = PlatformRecordEncoder.manifest(manifest);
+        assertThat(new PlatformRecordDecoder().decodeManifest(text), is(manifest));
     }
 }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -13,7 +13,7 @@
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.lab.rig.LabLoop;
 import org.damasktiller.platform.emulator.LoopbackServer;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.settings.Addresses;
 import org.damasktiller.standin.metadata.FatePlan;
@@ -89,6 +89,6 @@
         StoreModel model = new StoreModel(platform.runtime());
         StoreServlet servlet = new StoreServlet(model, platform.runtime(), FatePlan.CALM, 0);
         return Addresses.parse(
-                OperatorFormats.text(LoopbackServer.start(platform.eventloop(), servlet)));
+                PlatformRecordEncoder.text(LoopbackServer.start(platform.eventloop(), servlet)));
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
@@ -1,7 +1,7 @@
 package org.damasktiller.node.caller;
 
 import org.damasktiller.error.ErrorCode;
-import org.damasktiller.platform.ingress.CallerFormats;
+import org.damasktiller.platform.ingress.CallerCodec;
 import org.damasktiller.scheduler.model.SubmissionState;
 
 /**
@@ -44,7 +44,7 @@
      * @return the answer
      */
     static CallerAnswer accepted() {
-        return new CallerAnswer(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
+        return new CallerAnswer(OK, CallerCodec.state(SubmissionState.QUEUED), 0);
     }
 
     /**
@@ -54,7 +54,7 @@
      * @return the answer
      */
     static CallerAnswer state(SubmissionState state) {
-        return new CallerAnswer(OK, CallerFormats.state(state), 0);
+        return new CallerAnswer(OK, CallerCodec.state(state), 0);
     }
 
     /**
@@ -64,7 +64,7 @@
      * @return the answer
      */
     static CallerAnswer pending(int count) {
-        return new CallerAnswer(OK, CallerFormats.pending(count), 0);
+        return new CallerAnswer(OK, CallerCodec.pending(count), 0);
     }
 
     /**
@@ -75,7 +75,7 @@
     static CallerAnswer noRoute() {
         return new CallerAnswer(
                 NOT_FOUND,
-                CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route takes this path"),
+                CallerCodec.error(ErrorCode.UNKNOWN_KIND, "no route takes this path"),
                 0);
     }
 
@@ -86,9 +86,7 @@
      */
     static CallerAnswer unknownSubmission() {
         return new CallerAnswer(
-                GONE,
-                CallerFormats.error(ErrorCode.UNKNOWN_JOB, "no such submission is stored"),
-                0);
+                GONE, CallerCodec.error(ErrorCode.UNKNOWN_JOB, "no such submission is stored"), 0);
     }
 
     /**
@@ -98,8 +96,7 @@
      * @return the answer
      */
     static CallerAnswer malformed(String message) {
-        return new CallerAnswer(
-                BAD_REQUEST, CallerFormats.error(ErrorCode.BAD_REQUEST, message), 0);
+        return new CallerAnswer(BAD_REQUEST, CallerCodec.error(ErrorCode.BAD_REQUEST, message), 0);
     }
 
     /**
@@ -111,8 +108,7 @@
     static CallerAnswer tooLarge(int limit) {
         return new CallerAnswer(
                 TOO_LARGE,
-                CallerFormats.error(
-                        ErrorCode.BODY_TOO_LARGE, "a body may have " + limit + " bytes"),
+                CallerCodec.error(ErrorCode.BODY_TOO_LARGE, "a body may have " + limit + " bytes"),
                 0);
     }
 
@@ -125,7 +121,7 @@
     static CallerAnswer notCarriedOut(String message) {
         return new CallerAnswer(
                 UNAVAILABLE,
-                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.error(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 
@@ -138,7 +134,7 @@
     static CallerAnswer outcomeUnknown(String message) {
         return new CallerAnswer(
                 OUTCOME_UNKNOWN,
-                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.error(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.node.cluster.Cluster;
-import org.damasktiller.platform.ingress.CallerFormats;
+import org.damasktiller.platform.ingress.CallerCodec;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.Submission;
@@ -171,7 +171,7 @@
     private Promise<CallerAnswer> accept(CallerRequest call, byte[] body) {
         Submission submission;
         try {
-            submission = CallerFormats.submission(call.id(), body);
+            submission = CallerCodec.submission(call.id(), body);
         } catch (DamasktillerException exception) {
             log.log(
                     "submission.malformed",
@@ -224,7 +224,7 @@
      * @return the time on the steady clock, in milliseconds
      */
     private long deadline(HttpRequest request) {
-        String header = request.getHeader(CallerFormats.DEADLINE);
+        String header = request.getHeader(CallerCodec.DEADLINE);
         long wait = DEFAULT_DEADLINE_MILLIS;
         if (header != null && header.matches("\\d{1,9}")) {
             wait = Long.parseLong(header);
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -23,12 +23,12 @@
 import org.damasktiller.node.cluster.NodeIdentity;
 import org.damasktiller.node.log.JsonLineLog;
 import org.damasktiller.node.metrics.EventMetrics;
-import org.damasktiller.platform.advice.HttpAdviceCalls;
-import org.damasktiller.platform.call.PlatformCaller;
+import org.damasktiller.platform.advice.HttpAdviceClient;
+import org.damasktiller.platform.call.JsonHttpClient;
 import org.damasktiller.platform.http.EventLoops;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
-import org.damasktiller.platform.order.HttpWorkerCalls;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.order.HttpWorkerClient;
+import org.damasktiller.platform.record.PlatformRecordDecoder;
 import org.damasktiller.platform.settings.PlatformSettings;
 import org.damasktiller.platform.settings.SettingsReader;
 import org.damasktiller.scheduler.cell.CellLayout;
@@ -130,10 +130,10 @@
         runtime = new LoopRuntime(eventloop, clock, log);
         MetadataStore store =
                 new HttpMetadataStore(
-                        new PlatformCaller(eventloop, STORE_MILLIS),
-                        new PlatformCaller(eventloop, WATCH_MILLIS),
+                        new JsonHttpClient(eventloop, STORE_MILLIS),
+                        new JsonHttpClient(eventloop, WATCH_MILLIS),
                         settings.storeAddress());
-        PlatformRecords records = new PlatformRecords();
+        PlatformRecordDecoder records = new PlatformRecordDecoder();
         CellLayout layout = new CellLayout(settings.zones());
         CellSettings cells =
                 CellSettings.builder()
@@ -149,9 +149,9 @@
                         layout,
                         cells,
                         store,
-                        new HttpWorkerCalls(
-                                new PlatformCaller(eventloop, WORKER_MILLIS),
-                                new PlatformCaller(eventloop, LOOK_MILLIS)),
+                        new HttpWorkerClient(
+                                new JsonHttpClient(eventloop, WORKER_MILLIS),
+                                new JsonHttpClient(eventloop, LOOK_MILLIS)),
                         advice(),
                         records,
                         runtime,
@@ -217,7 +217,7 @@
         InetSocketAddress address = settings.adviceAddress();
         return address == null
                 ? AdviceCalls.NONE
-                : new HttpAdviceCalls(new PlatformCaller(eventloop, ADVICE_MILLIS), address);
+                : new HttpAdviceClient(new JsonHttpClient(eventloop, ADVICE_MILLIS), address);
     }
 
     /**
