--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -203,7 +203,8 @@
      * @param rows the table
      */
     private void printManifest(PrintStream output, OperatorTable rows) {
-        byte[] text = PlatformRecordEncoder.manifest(TableManifest.of(rows, service, version));
+        byte[] text =
+                PlatformRecordEncoder.encodeManifest(TableManifest.of(rows, service, version));
         output.println(new String(text, StandardCharsets.UTF_8));
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
@@ -63,7 +63,8 @@
         this.settings = directory.resolve(name + ".conf");
         this.log = directory.resolve(name + ".log");
         List<String> lines =
-                PlatformRecordEncoder.settings(name, zone, zones, callers, freeAddress(), store);
+                PlatformRecordEncoder.settingsLines(
+                        name, zone, zones, callers, freeAddress(), store);
         try {
             Files.write(settings, lines);
         } catch (IOException exception) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -136,7 +136,9 @@
     public void manifest(Manifest base, List<Route> routes) {
         manifestVersion++;
         Manifest next = new Manifest(manifestVersion, routes, base.services(), base.limits());
-        store.commit(new Commit().put(RECORDS.manifestKey(), PlatformRecordEncoder.manifest(next)));
+        store.commit(
+                new Commit()
+                        .put(RECORDS.manifestKey(), PlatformRecordEncoder.encodeManifest(next)));
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
@@ -118,7 +118,7 @@
                         capacity,
                         List.of("standard", rack),
                         model.bornUnixMillis());
-        store.commit(new Commit().put(key(), PlatformRecordEncoder.worker(entry)));
+        store.commit(new Commit().put(key(), PlatformRecordEncoder.encodeWorker(entry)));
     }
 
     /** Ends it at once: what runs on it is over, its entry goes, and it answers nothing. */
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
@@ -40,7 +40,7 @@
     @Test
     void entryVmsReadTheManifestThatIsPrinted() {
         Manifest manifest = TableManifest.of(table, "workers", 3);
-        byte[] text = PlatformRecordEncoder.manifest(manifest);
+        byte[] text = PlatformRecordEncoder.encodeManifest(manifest);
         assertThat(new PlatformRecordDecoder().decodeManifest(text), is(manifest));
     }
 }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -89,6 +89,7 @@
         StoreModel model = new StoreModel(platform.runtime());
         StoreServlet servlet = new StoreServlet(model, platform.runtime(), FatePlan.CALM, 0);
         return Addresses.parse(
-                PlatformRecordEncoder.text(LoopbackServer.start(platform.eventloop(), servlet)));
+                PlatformRecordEncoder.formatAddress(
+                        LoopbackServer.start(platform.eventloop(), servlet)));
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerAnswer.java
@@ -44,7 +44,7 @@
      * @return the answer
      */
     static CallerAnswer accepted() {
-        return new CallerAnswer(OK, CallerCodec.state(SubmissionState.QUEUED), 0);
+        return new CallerAnswer(OK, CallerCodec.encodeState(SubmissionState.QUEUED), 0);
     }
 
     /**
@@ -54,7 +54,7 @@
      * @return the answer
      */
     static CallerAnswer state(SubmissionState state) {
-        return new CallerAnswer(OK, CallerCodec.state(state), 0);
+        return new CallerAnswer(OK, CallerCodec.encodeState(state), 0);
     }
 
     /**
@@ -64,7 +64,7 @@
      * @return the answer
      */
     static CallerAnswer pending(int count) {
-        return new CallerAnswer(OK, CallerCodec.pending(count), 0);
+        return new CallerAnswer(OK, CallerCodec.encodePendingCount(count), 0);
     }
 
     /**
@@ -75,7 +75,7 @@
     static CallerAnswer noRoute() {
         return new CallerAnswer(
                 NOT_FOUND,
-                CallerCodec.error(ErrorCode.UNKNOWN_KIND, "no route takes this path"),
+                CallerCodec.encodeError(ErrorCode.UNKNOWN_KIND, "no route takes this path"),
                 0);
     }
 
@@ -86,7 +86,9 @@
      */
     static CallerAnswer unknownSubmission() {
         return new CallerAnswer(
-                GONE, CallerCodec.error(ErrorCode.UNKNOWN_JOB, "no such submission is stored"), 0);
+                GONE,
+                CallerCodec.encodeError(ErrorCode.UNKNOWN_JOB, "no such submission is stored"),
+                0);
     }
 
     /**
@@ -96,7 +98,8 @@
      * @return the answer
      */
     static CallerAnswer malformed(String message) {
-        return new CallerAnswer(BAD_REQUEST, CallerCodec.error(ErrorCode.BAD_REQUEST, message), 0);
+        return new CallerAnswer(
+                BAD_REQUEST, CallerCodec.encodeError(ErrorCode.BAD_REQUEST, message), 0);
     }
 
     /**
@@ -108,7 +111,8 @@
     static CallerAnswer tooLarge(int limit) {
         return new CallerAnswer(
                 TOO_LARGE,
-                CallerCodec.error(ErrorCode.BODY_TOO_LARGE, "a body may have " + limit + " bytes"),
+                CallerCodec.encodeError(
+                        ErrorCode.BODY_TOO_LARGE, "a body may have " + limit + " bytes"),
                 0);
     }
 
@@ -121,7 +125,7 @@
     static CallerAnswer notCarriedOut(String message) {
         return new CallerAnswer(
                 UNAVAILABLE,
-                CallerCodec.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.encodeError(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 
@@ -134,7 +138,7 @@
     static CallerAnswer outcomeUnknown(String message) {
         return new CallerAnswer(
                 OUTCOME_UNKNOWN,
-                CallerCodec.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.encodeError(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -171,7 +171,7 @@
     private Promise<CallerAnswer> accept(CallerRequest call, byte[] body) {
         Submission submission;
         try {
-            submission = CallerCodec.submission(call.id(), body);
+            submission = CallerCodec.decodeSubmission(call.id(), body);
         } catch (DamasktillerException exception) {
             log.log(
                     "submission.malformed",
@@ -224,7 +224,7 @@
      * @return the time on the steady clock, in milliseconds
      */
     private long deadline(HttpRequest request) {
-        String header = request.getHeader(CallerCodec.DEADLINE);
+        String header = request.getHeader(CallerCodec.DEADLINE_MILLIS_HEADER);
         long wait = DEFAULT_DEADLINE_MILLIS;
         if (header != null && header.matches("\\d{1,9}")) {
             wait = Long.parseLong(header);
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -137,7 +137,7 @@
         CellLayout layout = new CellLayout(settings.zones());
         CellSettings cells =
                 CellSettings.builder()
-                        .impactMillis(settings.bounds().harmMillis())
+                        .impactMillis(settings.bounds().longestFillerImpactMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
                         .longestWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
                         .shortestStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
