--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -31,9 +31,9 @@
      * @param zones the availability zones that the table may name
      */
     public TableSession(InetSocketAddress store, Set<ZoneName> zones) {
-        JsonHttpClient caller = new JsonHttpClient(loop.eventloop(), STORE_MILLIS);
+        JsonHttpClient client = new JsonHttpClient(loop.eventloop(), STORE_MILLIS);
         MetadataKeyValueStore records =
-                new MetadataKeyValueStore(new HttpMetadataStore(caller, caller, store));
+                new MetadataKeyValueStore(new HttpMetadataStore(client, client, store));
         repository = new TableRepository(records, zones, loop.runtime()::unixMillis, () -> 0);
     }
 
