--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -10,7 +10,7 @@
 import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.emulator.WorkerServlet;
-import org.damasktiller.platform.record.PlatformRecordDecoder;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.port.Commit;
@@ -30,7 +30,7 @@
     public static final String SERVICE = "workers";
 
     /** Names the keys that the operator and the workers write. */
-    static final PlatformRecordDecoder RECORDS = new PlatformRecordDecoder();
+    static final JsonPlatformRecordDecoder RECORDS = new JsonPlatformRecordDecoder();
 
     /** How late a late call is carried out, in milliseconds: well after a client gave up. */
     private static final long LATE_MILLIS = 3_000;
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
@@ -6,7 +6,7 @@
 
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.platform.emulator.PlatformRecordEncoder;
-import org.damasktiller.platform.record.PlatformRecordDecoder;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.table.OperatorTable;
 import org.damasktiller.table.TableReader;
@@ -41,6 +41,6 @@
     void entryVmsReadTheManifestThatIsPrinted() {
         Manifest manifest = TableManifest.of(table, "workers", 3);
         byte[] text = PlatformRecordEncoder.encodeManifest(manifest);
-        assertThat(new PlatformRecordDecoder().decodeManifest(text), is(manifest));
+        assertThat(new JsonPlatformRecordDecoder().decodeManifest(text), is(manifest));
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -28,7 +28,7 @@
 import org.damasktiller.platform.http.EventLoops;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.platform.order.HttpWorkerClient;
-import org.damasktiller.platform.record.PlatformRecordDecoder;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.platform.settings.PlatformSettings;
 import org.damasktiller.platform.settings.SettingsReader;
 import org.damasktiller.scheduler.cell.CellLayout;
@@ -133,7 +133,7 @@
                         new JsonHttpClient(eventloop, STORE_MILLIS),
                         new JsonHttpClient(eventloop, WATCH_MILLIS),
                         settings.storeAddress());
-        PlatformRecordDecoder records = new PlatformRecordDecoder();
+        JsonPlatformRecordDecoder records = new JsonPlatformRecordDecoder();
         CellLayout layout = new CellLayout(settings.zones());
         CellSettings cells =
                 CellSettings.builder()
