--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
@@ -86,17 +86,18 @@
         }
         List<WorkerRecord> candidates = new ArrayList<>();
         for (WorkerRecord worker : core.allWorkers()) {
-            boolean fits = worker.free().covers(step.spec.reserved());
+            boolean fits = worker.freeResources().covers(step.spec.reserved());
             boolean open =
                     !step.rejectedWorkerIds.contains(worker.id) && ticket(step, worker).isEmpty();
-            if (fits && open && worker.usable(now)) {
+            if (fits && open && worker.isUsable(now)) {
                 candidates.add(worker);
             }
         }
         if (candidates.isEmpty()) {
             return;
         }
-        candidates.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
+        candidates.sort(
+                Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         List<WorkerRecord> named =
                 candidates.subList(0, Math.min(WORKERS_ASKED, candidates.size()));
         asking = true;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -231,7 +231,7 @@
             looks.expire(worker);
             drains.judge(worker);
             boolean gone =
-                    !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
+                    !worker.listed && worker.runs.isEmpty() && now >= worker.leasesExpireAtMillis;
             if (gone) {
                 core.workers.remove(worker.id);
                 core.unsettled.remove(worker.id);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitLoop.java
@@ -344,7 +344,7 @@
                     }
                 });
         for (WorkerRecord worker : sent.enrolled) {
-            worker.enrolled = true;
+            worker.inStoredRoster = true;
         }
         acknowledge();
         if (!changed.isEmpty() || rosterChanged) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -95,7 +95,7 @@
     PendingEnd applyEnd(WorkerRecord worker, EndView end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
         if (record != null) {
-            worker.remove(record);
+            worker.removeRun(record);
         }
         Job job = core.jobs.get(end.task().submission());
         TaskRecord task = findTask(end.task());
@@ -136,7 +136,7 @@
      * @param reason why the run cannot be active any more, for the log
      */
     void applyLoss(RunRecord record, String reason) {
-        record.worker.remove(record);
+        record.worker.removeRun(record);
         TaskRecord task = record.task;
         core.log.log(
                 "run.lost",
@@ -336,7 +336,12 @@
         if (!failedElsewhere
                 && !tooManySuspects
                 && worker.failureDetector.recordFailure(job.id(), now)) {
-            core.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
+            core.log.log(
+                    "worker.suspect",
+                    "worker",
+                    worker.id,
+                    "reason",
+                    "runs of different submissions failed in a row");
         }
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseClock.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseClock.java
@@ -49,7 +49,8 @@
      */
     void noteGrant(WorkerRecord worker, long leaseEnd, long nowMillis) {
         long span = Math.max(0, leaseEnd - earliestClock(worker, nowMillis));
-        worker.leaseOverAtMillis = Math.max(worker.leaseOverAtMillis, nowMillis + stretched(span));
+        worker.leasesExpireAtMillis =
+                Math.max(worker.leasesExpireAtMillis, nowMillis + stretched(span));
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -83,7 +83,7 @@
                         now);
         record.checkpoint = task.checkpoint;
         record.startCheckpoint = task.checkpoint;
-        worker.add(record);
+        worker.addRun(record);
         long leaseEnd = core.leases.leaseEnd(worker, now);
         core.leases.noteGrant(worker, leaseEnd, now);
         StartOrder order =
@@ -95,7 +95,7 @@
                         core.term.generation(),
                         task.checkpoint,
                         ticket);
-        worker.ordersInFlight++;
+        worker.startsInFlight++;
         core.log.log(
                 "run.start",
                 "route",
@@ -109,7 +109,7 @@
                 "leaseEnd",
                 leaseEnd,
                 "free",
-                worker.free(),
+                worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
         core.calls.start(worker.address(), order, reply -> onStartReply(record, reply));
@@ -123,14 +123,14 @@
      */
     private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
-        worker.ordersInFlight--;
+        worker.startsInFlight--;
         if (core.over || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.RUNNING;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             }
             return;
         }
@@ -151,11 +151,11 @@
                     Math.max(worker.avoidUntilMillis, core.now() + UNANSWERED_BACKOFF_MILLIS);
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.UNCERTAIN;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             }
             return;
         }
-        worker.remove(record);
+        worker.removeRun(record);
         applyRejection(record, reply.status());
         onCapacityChange.run();
     }
@@ -234,7 +234,7 @@
         }
         if (reply.status() == WorkerStatus.OK) {
             record.stopAcknowledged = true;
-            record.firstConclusivePoll = worker.lookNumber + 1;
+            record.firstConclusivePoll = worker.lastPollNumber + 1;
             return;
         }
         if (reply.status() == WorkerStatus.FENCED) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -204,7 +204,7 @@
      */
     private void move(RunRecord run, TaskRecord task) {
         boolean alreadyAvoided = !task.avoidedWorkerIds.add(run.worker.id);
-        WorkerRecord other = workerSelector.choose(task);
+        WorkerRecord other = workerSelector.selectWorker(task);
         if (other == null || other == run.worker) {
             if (!alreadyAvoided) {
                 task.avoidedWorkerIds.remove(run.worker.id);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -253,7 +253,7 @@
             if (!task.isWaiting(now)) {
                 continue;
             }
-            WorkerRecord worker = workerSelector.choose(task);
+            WorkerRecord worker = workerSelector.selectWorker(task);
             if (worker == null) {
                 requestTickets(step);
                 return;
@@ -278,7 +278,7 @@
             }
             highestRun = Math.max(highestRun, task.highestRun);
         }
-        List<WorkerRecord> workers = workerSelector.chooseGang(step);
+        List<WorkerRecord> workers = workerSelector.selectWorkersForGang(step);
         if (workers.isEmpty()) {
             requestTickets(step);
             return;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -67,20 +67,20 @@
      * @param worker the worker
      */
     void look(WorkerRecord worker) {
-        if (core.over || worker.looking || core.workers.get(worker.id) != worker) {
+        if (core.over || worker.pollInFlight || core.workers.get(worker.id) != worker) {
             return;
         }
-        worker.looking = true;
-        worker.lookNumber++;
-        long number = worker.lookNumber;
+        worker.pollInFlight = true;
+        worker.lastPollNumber++;
+        long number = worker.lastPollNumber;
         long now = core.now();
         boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerCalls.NO_LEASE;
-        if (!first && worker.missedLooks == 0) {
+        if (!first && worker.missedPolls == 0) {
             leaseEnd = core.leases.leaseEnd(worker, now);
             core.leases.noteGrant(worker, leaseEnd, now);
         }
-        boolean sameLife = worker.missedLooks == 0;
+        boolean sameLife = worker.missedPolls == 0;
         HoldOrder order =
                 new HoldOrder(
                         leaseEnd,
@@ -98,13 +98,13 @@
      * @param reply the answer
      */
     private void onReply(WorkerRecord worker, long number, WorkerReply reply) {
-        worker.looking = false;
+        worker.pollInFlight = false;
         if (core.over || core.workers.get(worker.id) != worker) {
             return;
         }
         Inventory inventory = reply.inventory();
         if (reply.status() != WorkerStatus.OK || inventory == null) {
-            worker.missedLooks++;
+            worker.missedPolls++;
             listener.onMissedLook(worker, reply);
             core.schedule(core.settings.lookRetryMillis(), () -> look(worker));
             return;
@@ -121,7 +121,7 @@
         worker.clockMillis = reply.clockMillis();
         worker.clockReadAtMillis = now;
         worker.answeredAtMillis = now;
-        worker.missedLooks = 0;
+        worker.missedPolls = 0;
         boolean first = !worker.fenced;
         worker.fenced = true;
         merge(worker, number, inventory);
@@ -154,7 +154,7 @@
         worker.clockMillis = WorkerRecord.NO_CLOCK;
         worker.provenClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
-        worker.takenSequence = 0;
+        worker.appliedSequence = 0;
         worker.acknowledgedSequence = 0;
         worker.pendingEnds.clear();
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
@@ -163,7 +163,7 @@
             if (mayArrive) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.stopAcknowledged = false;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             } else {
                 jobTracker.applyLoss(record, "the worker restarted");
             }
@@ -179,8 +179,8 @@
      */
     private void merge(WorkerRecord worker, long number, Inventory inventory) {
         for (EndView end : inventory.ended()) {
-            if (end.sequence() > worker.takenSequence) {
-                worker.takenSequence = end.sequence();
+            if (end.sequence() > worker.appliedSequence) {
+                worker.appliedSequence = end.sequence();
                 worker.pendingEnds.add(jobTracker.applyEnd(worker, end));
             }
         }
@@ -242,7 +242,7 @@
                         core.now());
         record.cpuLimitPercent = RunRecord.UNKNOWN;
         record.everThrottled = true;
-        worker.add(record);
+        worker.addRun(record);
         if (task != null) {
             task.highestRun = Math.max(task.highestRun, view.run());
         }
@@ -302,7 +302,7 @@
      * @param worker the worker
      */
     void expire(WorkerRecord worker) {
-        if (core.now() < worker.leaseOverAtMillis) {
+        if (core.now() < worker.leasesExpireAtMillis) {
             return;
         }
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -27,7 +27,7 @@
      * and less than a worker needs to restart; a restarted worker has forgotten every fencing
      * token.
      */
-    private static final long FRESH_ANSWER_MILLIS = 1_000;
+    private static final long MAX_ANSWER_AGE_MILLIS = 1_000;
 
     /** The identifier of the worker. */
     final String id;
@@ -89,10 +89,10 @@
      * The time on the owner's clock by which every lease that this or a former owner has granted is
      * expired, in milliseconds.
      */
-    long leaseOverAtMillis;
+    long leasesExpireAtMillis;
 
     /** The sequence number of the last end that has been applied. */
-    long takenSequence;
+    long appliedSequence;
 
     /** The sequence number of the last end that the worker may forget. */
     long acknowledgedSequence;
@@ -101,19 +101,19 @@
     Resources reserved = Resources.NONE;
 
     /** The number of start requests in flight. */
-    int ordersInFlight;
+    int startsInFlight;
 
     /** The number of the last poll sent. */
-    long lookNumber;
+    long lastPollNumber;
 
     /**
      * The number of consecutive polls without an answer. Polls do not extend the lease while it is
      * not zero.
      */
-    int missedLooks;
+    int missedPolls;
 
     /** Whether a poll is in flight. */
-    boolean looking;
+    boolean pollInFlight;
 
     /** When the worker last answered a poll, in milliseconds, or -1 if it never has. */
     long answeredAtMillis = -1;
@@ -134,19 +134,19 @@
     long drainingSinceMillis = -1;
 
     /** Whether the stored roster of the cell includes the worker. */
-    boolean enrolled;
+    boolean inStoredRoster;
 
     /**
      * Creates a record of a worker that has not been polled.
      *
      * @param entry the registration of the worker
-     * @param leaseOverAtMillis the time by which every lease of former owners is expired, in
+     * @param leasesExpireAtMillis the time by which every lease of former owners is expired, in
      *     milliseconds
      */
-    WorkerRecord(WorkerEntry entry, long leaseOverAtMillis) {
+    WorkerRecord(WorkerEntry entry, long leasesExpireAtMillis) {
         this.id = entry.id();
         this.entry = entry;
-        this.leaseOverAtMillis = leaseOverAtMillis;
+        this.leasesExpireAtMillis = leasesExpireAtMillis;
     }
 
     /**
@@ -163,7 +163,7 @@
      *
      * @return the free resources, negative where the runs reserve more than the worker has
      */
-    Resources free() {
+    Resources freeResources() {
         return entry.capacity().minus(reserved);
     }
 
@@ -172,7 +172,7 @@
      *
      * @param record the run
      */
-    void add(RunRecord record) {
+    void addRun(RunRecord record) {
         if (runs.put(record.key(), record) == null) {
             reserved = reserved.plus(record.reserved);
         }
@@ -186,7 +186,7 @@
      *
      * @param record the run
      */
-    void remove(RunRecord record) {
+    void removeRun(RunRecord record) {
         if (runs.remove(record.key()) != null) {
             reserved = reserved.minus(record.reserved);
         }
@@ -224,12 +224,12 @@
      * @return whether it is registered, fenced, recently heard from, in the stored roster, not
      *     draining and not avoided
      */
-    boolean usable(long nowMillis) {
-        boolean known = listed || nowMillis - unlistedSinceMillis < UNLISTED_GRACE_MILLIS;
-        return known
+    boolean isUsable(long nowMillis) {
+        boolean registered = listed || nowMillis - unlistedSinceMillis < UNLISTED_GRACE_MILLIS;
+        return registered
                 && fenced
-                && nowMillis - answeredAtMillis <= FRESH_ANSWER_MILLIS
-                && enrolled
+                && nowMillis - answeredAtMillis <= MAX_ANSWER_AGE_MILLIS
+                && inStoredRoster
                 && !entry.draining()
                 && provenClockMillis != NO_CLOCK
                 && nowMillis >= avoidUntilMillis;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -21,57 +21,57 @@
 final class WorkerSelector {
 
     /** The maximum number of start requests in flight to one worker; connections are billed. */
-    private static final int MOST_ORDERS = 6;
+    private static final int MAX_STARTS_IN_FLIGHT = 6;
 
     /** The fraction of a worker's CPU that new long-running tasks leave free for urgent tasks. */
-    private static final double HOLE_SHARE = 0.06;
+    private static final double URGENT_RESERVE_FRACTION = 0.06;
 
     /** The average CPU use of a serving task, as a fraction of its request. */
-    private static final double SERVING_USE = 0.35;
+    private static final double SERVING_CPU_USE_FRACTION = 0.35;
 
     /** The penalty for a worker on which an earlier run of the task failed or was too slow. */
-    private static final double FAILED_HERE = 1_000;
+    private static final double AVOIDED_WORKER_PENALTY = 1_000;
 
     /**
      * The penalty for a worker on which runs progress slowly, relative to the other terms of the
      * score.
      */
-    private static final double SLOW_WORKER = 2;
+    private static final double SLOW_WORKER_PENALTY = 2;
 
     /**
      * The weight of the slowdown through input data on another rack, relative to the other terms of
      * the score.
      */
-    private static final double REMOTE_DATA = 10;
+    private static final double REMOTE_DATA_WEIGHT = 10;
 
     /** The score of a worker that is not selected. */
-    private static final double WORST_SCORE = Double.MAX_VALUE;
+    private static final double REJECTED_SCORE = Double.MAX_VALUE;
 
     /**
      * The weight of the filler load of a worker, relative to the predicted impact on serving tasks.
      */
-    private static final double LOAD_WEIGHT = 0.3;
+    private static final double FILLER_LOAD_WEIGHT = 0.3;
 
     /**
      * The weight of the free CPU of a worker for long-running tasks, so that workers fill up one
      * after the other.
      */
-    private static final double LEFT_WEIGHT = 0.2;
+    private static final double FREE_CPU_WEIGHT = 0.2;
 
     /**
      * The image mismatch of a worker without serving tasks: it ranks after a worker whose serving
      * tasks all have the image of the new task.
      */
-    private static final double EMPTY_SCORE = 0.3;
+    private static final double NO_SERVING_TASK_MISMATCH = 0.3;
 
     /**
      * The impact that a filler may have if it has not waited, in serving tasks pushed over their
      * target.
      */
-    private static final double FIRST_HARM = 0.2;
+    private static final double INITIAL_ALLOWED_IMPACT = 0.2;
 
     /** The increase of the allowed impact for each second that a filler waits, in serving tasks. */
-    private static final double HARM_PER_SECOND = 0.15;
+    private static final double ALLOWED_IMPACT_PER_SECOND = 0.15;
 
     /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -104,13 +104,13 @@
      * @param task the task
      * @return the worker, or null if none is eligible and has enough free resources
      */
-    @Nullable WorkerRecord choose(TaskRecord task) {
+    @Nullable WorkerRecord selectWorker(TaskRecord task) {
         WorkerRecord best = null;
-        double bestScore = WORST_SCORE;
+        double bestScore = REJECTED_SCORE;
         boolean adviceNeeded = advice.needed(task.step);
         for (WorkerRecord worker : core.allWorkers()) {
-            if (!allowed(task, worker, adviceNeeded)
-                    || !worker.free().covers(task.step.spec.reserved())) {
+            if (!isEligible(task, worker, adviceNeeded)
+                    || !worker.freeResources().covers(task.step.spec.reserved())) {
                 continue;
             }
             double score = score(task, worker);
@@ -129,16 +129,16 @@
      * @param step the step of the gang
      * @return a worker for each member in order, or an empty list if not all members fit
      */
-    List<WorkerRecord> chooseGang(StepRecord step) {
+    List<WorkerRecord> selectWorkersForGang(StepRecord step) {
         if (step.spec.sameRack()) {
-            for (String rack : racks()) {
-                List<WorkerRecord> chosen = fill(step, rack);
-                if (!chosen.isEmpty()) {
-                    return chosen;
+            for (String rack : possibleRacks()) {
+                List<WorkerRecord> selected = assignGang(step, rack);
+                if (!selected.isEmpty()) {
+                    return selected;
                 }
             }
         }
-        return fill(step, "");
+        return assignGang(step, "");
     }
 
     /**
@@ -148,30 +148,31 @@
      * @param rack the label that all workers must have, or an empty string for any worker
      * @return a worker for each member in order, or an empty list if not all members fit
      */
-    private List<WorkerRecord> fill(StepRecord step, String rack) {
-        Map<WorkerRecord, Integer> taken = new HashMap<>();
-        List<WorkerRecord> chosen = new ArrayList<>();
-        List<WorkerRecord> order = new ArrayList<>(core.allWorkers());
-        order.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
+    private List<WorkerRecord> assignGang(StepRecord step, String rack) {
+        Map<WorkerRecord, Integer> assignedCounts = new HashMap<>();
+        List<WorkerRecord> selected = new ArrayList<>();
+        List<WorkerRecord> byFreeCpu = new ArrayList<>(core.allWorkers());
+        byFreeCpu.sort(Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         Resources need = step.spec.reserved();
         boolean adviceNeeded = advice.needed(step);
         for (TaskRecord task : step.tasks) {
-            for (WorkerRecord worker : order) {
-                int here = taken.getOrDefault(worker, 0);
-                boolean spread =
-                        step.spec.maximumPerWorker() == 0 || here < step.spec.maximumPerWorker();
+            for (WorkerRecord worker : byFreeCpu) {
+                int assignedHere = assignedCounts.getOrDefault(worker, 0);
+                boolean belowLimit =
+                        step.spec.maximumPerWorker() == 0
+                                || assignedHere < step.spec.maximumPerWorker();
                 boolean onRack = rack.isEmpty() || worker.entry.labels().contains(rack);
-                if (spread
+                if (belowLimit
                         && onRack
-                        && allowed(task, worker, adviceNeeded)
-                        && worker.free().covers(times(need, here + 1))) {
-                    taken.merge(worker, 1, Integer::sum);
-                    chosen.add(worker);
+                        && isEligible(task, worker, adviceNeeded)
+                        && worker.freeResources().covers(multiply(need, assignedHere + 1))) {
+                    assignedCounts.merge(worker, 1, Integer::sum);
+                    selected.add(worker);
                     break;
                 }
             }
         }
-        return chosen.size() == step.tasks.size() ? chosen : List.of();
+        return selected.size() == step.tasks.size() ? selected : List.of();
     }
 
     /**
@@ -179,7 +180,7 @@
      *
      * @return the labels of all workers, in alphabetical order
      */
-    private Set<String> racks() {
+    private Set<String> possibleRacks() {
         Set<String> racks = new TreeSet<>();
         core.allWorkers().forEach(worker -> racks.addAll(worker.entry.labels()));
         return racks;
@@ -192,7 +193,7 @@
      * @param count the number of tasks
      * @return the resources of all tasks
      */
-    private static Resources times(Resources need, int count) {
+    private static Resources multiply(Resources need, int count) {
         return new Resources(
                 need.cpuMillicores() * count, need.memoryMb() * count, need.accelerators() * count);
     }
@@ -205,21 +206,21 @@
      * @param adviceNeeded whether the task needs a ticket for the worker
      * @return whether the worker is eligible
      */
-    private boolean allowed(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
+    private boolean isEligible(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
         long now = core.now();
         StepSpec spec = task.step.spec;
-        boolean busy =
+        boolean unavailable =
                 now < worker.fullUntilMillis
-                        || worker.ordersInFlight >= MOST_ORDERS
+                        || worker.startsInFlight >= MAX_STARTS_IN_FLIGHT
                         || worker.failureDetector.isSuspect(now);
-        if (!worker.usable(now) || busy || !labelled(spec, worker)) {
+        if (!worker.isUsable(now) || unavailable || !hasRequiredLabel(spec, worker)) {
             return false;
         }
         if (worker.failureDetector.isOnProbation() && !worker.runs.isEmpty()) {
             return false;
         }
         boolean advised = !adviceNeeded || !advice.ticket(task.step, worker).isEmpty();
-        return advised && spread(task.step, worker) && roomBeside(task, worker);
+        return advised && isBelowWorkerLimit(task.step, worker) && hasEnoughCpu(task, worker);
     }
 
     /**
@@ -229,7 +230,7 @@
      * @param worker the worker
      * @return whether the worker has the label or the step requires none
      */
-    private static boolean labelled(StepSpec spec, WorkerRecord worker) {
+    private static boolean hasRequiredLabel(StepSpec spec, WorkerRecord worker) {
         return spec.requiredLabel().isEmpty()
                 || worker.entry.labels().contains(spec.requiredLabel());
     }
@@ -241,20 +242,20 @@
      * @param worker the worker
      * @return whether one more task of the step may start there
      */
-    private static boolean spread(StepRecord step, WorkerRecord worker) {
-        int most = step.spec.maximumPerWorker();
-        if (most == 0) {
+    private static boolean isBelowWorkerLimit(StepRecord step, WorkerRecord worker) {
+        int limit = step.spec.maximumPerWorker();
+        if (limit == 0) {
             return true;
         }
-        int here = 0;
+        int runsOfStep = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.id.submission().equals(step.occurrence.job.id())
                     && run.id.occurrence() == step.occurrence.number
                     && run.id.step() == step.number) {
-                here++;
+                runsOfStep++;
             }
         }
-        return here < most;
+        return runsOfStep < limit;
     }
 
     /**
@@ -265,16 +266,18 @@
      * @param worker the worker
      * @return whether the CPU suffices
      */
-    private boolean roomBeside(TaskRecord task, WorkerRecord worker) {
+    private boolean hasEnoughCpu(TaskRecord task, WorkerRecord worker) {
         StepSpec spec = task.step.spec;
         long capacity = worker.entry.capacity().cpuMillicores();
         if (spec.filling()) {
             return !worker.throttleState.paused
-                    && fillerLoad(worker) + spec.need().cpuMillicores() <= unused(worker);
+                    && fillerMillicores(worker) + spec.need().cpuMillicores()
+                            <= idleMillicores(worker);
         }
         if (spec.lasting() && !task.everRan) {
-            long left = worker.free().cpuMillicores() - spec.need().cpuMillicores();
-            return left >= capacity * HOLE_SHARE;
+            long freeAfterStart =
+                    worker.freeResources().cpuMillicores() - spec.need().cpuMillicores();
+            return freeAfterStart >= capacity * URGENT_RESERVE_FRACTION;
         }
         return true;
     }
@@ -285,14 +288,14 @@
      * @param worker the worker
      * @return the CPU, in millicores
      */
-    private static long fillerLoad(WorkerRecord worker) {
-        long load = 0;
+    private static long fillerMillicores(WorkerRecord worker) {
+        long requested = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.isFiller() && run.task != null) {
-                load += run.task.step.spec.need().cpuMillicores();
+                requested += run.task.step.spec.need().cpuMillicores();
             }
         }
-        return load;
+        return requested;
     }
 
     /**
@@ -301,11 +304,11 @@
      * @param worker the worker
      * @return the CPU, in millicores
      */
-    private static long unused(WorkerRecord worker) {
+    private static long idleMillicores(WorkerRecord worker) {
         long used = 0;
         for (RunRecord run : worker.runs.values()) {
             long reserved = run.reserved.cpuMillicores();
-            used += run.isServing() ? (long) (reserved * SERVING_USE) : reserved;
+            used += run.isServing() ? (long) (reserved * SERVING_CPU_USE_FRACTION) : reserved;
         }
         return worker.entry.capacity().cpuMillicores() - used;
     }
@@ -317,9 +320,10 @@
      * @param task the task of the filler
      * @return the allowed impact, as a number of serving tasks pushed over their target
      */
-    private double bearable(TaskRecord task) {
-        long waited = task.readySinceMillis == 0 ? 0 : core.now() - task.readySinceMillis;
-        return FIRST_HARM + HARM_PER_SECOND * waited / MILLIS_PER_SECOND;
+    private double allowedImpact(TaskRecord task) {
+        long waitedMillis = task.readySinceMillis == 0 ? 0 : core.now() - task.readySinceMillis;
+        return INITIAL_ALLOWED_IMPACT
+                + ALLOWED_IMPACT_PER_SECOND * waitedMillis / MILLIS_PER_SECOND;
     }
 
     /**
@@ -332,16 +336,16 @@
      * @return the fraction of the worker's serving tasks that have another image, or a constant if
      *     it has no serving task
      */
-    private static double strangers(WorkerRecord worker, String image) {
+    private static double imageMismatch(WorkerRecord worker, String image) {
         int serving = 0;
-        int others = 0;
+        int otherImages = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.isServing() && run.task != null) {
                 serving++;
-                others += run.task.step.spec.image().equals(image) ? 0 : 1;
+                otherImages += run.task.step.spec.image().equals(image) ? 0 : 1;
             }
         }
-        return serving == 0 ? EMPTY_SCORE : (double) others / serving;
+        return serving == 0 ? NO_SERVING_TASK_MISMATCH : (double) otherImages / serving;
     }
 
     /**
@@ -354,24 +358,27 @@
     private double score(TaskRecord task, WorkerRecord worker) {
         StepSpec spec = task.step.spec;
         double capacity = Math.max(1, worker.entry.capacity().cpuMillicores());
-        double score = task.avoidedWorkerIds.contains(worker.id) ? FAILED_HERE : 0;
+        double score = task.avoidedWorkerIds.contains(worker.id) ? AVOIDED_WORKER_PENALTY : 0;
         boolean remote =
                 !spec.dataRack().isEmpty() && !worker.entry.labels().contains(spec.dataRack());
         if (remote) {
-            score += REMOTE_DATA * (core.settings.remoteFactor() - 1);
+            score += REMOTE_DATA_WEIGHT * (core.settings.remoteFactor() - 1);
         }
         if (core.now() < worker.slowUntilMillis) {
-            score += SLOW_WORKER;
+            score += SLOW_WORKER_PENALTY;
         }
         if (spec.filling()) {
-            double load = (double) fillerLoad(worker) / Math.max(1, unused(worker));
-            double harm = fillerThrottle.predictImpact(worker, spec);
-            return harm > bearable(task) ? WORST_SCORE : score + harm + LOAD_WEIGHT * load;
+            double fillerLoad =
+                    (double) fillerMillicores(worker) / Math.max(1, idleMillicores(worker));
+            double impact = fillerThrottle.predictImpact(worker, spec);
+            return impact > allowedImpact(task)
+                    ? REJECTED_SCORE
+                    : score + impact + FILLER_LOAD_WEIGHT * fillerLoad;
         }
         if (spec.lasting()) {
-            double left = worker.free().cpuMillicores() / capacity;
-            return score + strangers(worker, spec.image()) + LEFT_WEIGHT * left;
+            double freeFraction = worker.freeResources().cpuMillicores() / capacity;
+            return score + imageMismatch(worker, spec.image()) + FREE_CPU_WEIGHT * freeFraction;
         }
-        return score + worker.free().cpuMillicores() / capacity;
+        return score + worker.freeResources().cpuMillicores() / capacity;
     }
 }
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
@@ -37,11 +37,11 @@
     @Test
     void workerThatHasNotAnsweredForASecondGetsNoNewWork() {
         worker.fenced = true;
-        worker.enrolled = true;
+        worker.inStoredRoster = true;
         worker.provenClockMillis = 1;
         worker.answeredAtMillis = 5_000;
-        assertThat(worker.usable(6_000), is(true));
-        assertThat(worker.usable(6_001), is(false));
+        assertThat(worker.isUsable(6_000), is(true));
+        assertThat(worker.isUsable(6_001), is(false));
     }
 
     /**
