--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceDesk.java
@@ -146,7 +146,7 @@
                 step.rejectedWorkerIds.add(worker.id);
             } else {
                 step.ticketsByWorkerId.put(
-                        worker.id, new AdviceTicket(text, worker.bornUnixMillis, until));
+                        worker.id, new AdviceTicket(text, worker.bootUnixMillis, until));
             }
         }
         changed.run();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -17,6 +17,6 @@
      * @return whether it can
      */
     boolean usable(WorkerRecord worker, long nowMillis) {
-        return worker.bornUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
+        return worker.bootUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -395,7 +395,7 @@
         @Override
         public void onUpdate(WorkerRecord worker, WorkerEntry before) {
             long born = worker.entry.bornUnixMillis();
-            if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
+            if (born != 0 && worker.bootUnixMillis != 0 && born > worker.bootUnixMillis) {
                 looks.restarted(worker, born);
             }
             looks.look(worker);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -97,7 +97,7 @@
      */
     private static final double HARMLESS_FRACTION = 0.6;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Sends the CPU limits to the workers. */
@@ -109,7 +109,7 @@
     /**
      * Creates a throttle for the fillers of all workers of a cell.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param requestSender sends the CPU limits to the workers
      * @param interference learns and predicts the effect of fillers on tail latencies, by pair of
      *     images
@@ -218,15 +218,16 @@
      */
     private void throttleTopContributors(WorkerRecord worker) {
         Map<RunRecord, Double> contributions = new LinkedHashMap<>();
-        double largest = 0;
+        double largestContribution = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.isFiller()) {
                 double contribution = contribution(worker, run);
                 contributions.put(run, contribution);
-                largest = Math.max(largest, contribution);
+                largestContribution = Math.max(largestContribution, contribution);
             }
         }
-        double threshold = Math.max(MIN_CONTRIBUTION, largest * TOP_CONTRIBUTION_FRACTION);
+        double threshold =
+                Math.max(MIN_CONTRIBUTION, largestContribution * TOP_CONTRIBUTION_FRACTION);
         contributions.forEach(
                 (run, contribution) -> {
                     if (contribution >= threshold) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/InterferenceModel.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/InterferenceModel.java
@@ -104,14 +104,16 @@
      * @param cpuShares the CPU shares of the fillers, by image
      */
     private void correct(String servingImage, double error, Map<String, Double> cpuShares) {
-        Map<String, Effect> row = effects.computeIfAbsent(servingImage, key -> new HashMap<>());
+        Map<String, Effect> effectsByFillerImage =
+                effects.computeIfAbsent(servingImage, key -> new HashMap<>());
         double totalVariance = OBSERVATION_VARIANCE;
         for (Map.Entry<String, Double> filler : cpuShares.entrySet()) {
-            Effect effect = row.computeIfAbsent(filler.getKey(), key -> new Effect());
+            Effect effect =
+                    effectsByFillerImage.computeIfAbsent(filler.getKey(), key -> new Effect());
             totalVariance += effect.variance * filler.getValue() * filler.getValue();
         }
         for (Map.Entry<String, Double> filler : cpuShares.entrySet()) {
-            Effect effect = row.get(filler.getKey());
+            Effect effect = effectsByFillerImage.get(filler.getKey());
             if (effect != null) {
                 effect.correct(error, filler.getValue(), totalVariance);
             }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -25,7 +25,7 @@
      */
     private static final int MIN_WORKERS_PER_SUSPECT = 4;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Stores the changes of jobs. */
@@ -40,7 +40,7 @@
     /**
      * Creates a tracker for the jobs of a cell.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param commits stores the changes of jobs
      * @param requestSender stops runs
      * @param runTimes learns how long tasks take
@@ -85,7 +85,9 @@
     }
 
     /**
-     * Applies the end of a run that a worker has reported.
+     * Applies the end of a run that a worker has reported. The ends of a task that is already done
+     * are ignored. So are ends other than {@link EndKind#DONE} and {@link EndKind#FAILED} if the
+     * end of the same or a later run has been applied.
      *
      * @param worker the worker
      * @param end the end of the run
@@ -103,7 +105,7 @@
             return new PendingEnd(end.sequence(), end.run(), job, job == null ? 0 : job.version);
         }
         boolean relevant =
-                end.run() > task.highestEndedRun
+                end.run() > task.highestEndedRunNumber
                         || end.kind() == EndKind.DONE
                         || end.kind() == EndKind.FAILED;
         if (relevant && !task.done) {
@@ -141,9 +143,9 @@
         core.log.log(
                 "run.lost",
                 "task",
-                record.id,
+                record.taskId,
                 "run",
-                record.run,
+                record.runNumber,
                 "worker",
                 record.worker.id,
                 "reason",
@@ -212,14 +214,14 @@
      * @param end the end of the run
      */
     private void updateTask(TaskRecord task, WorkerRecord worker, EndView end) {
-        boolean newest = end.run() >= task.highestEndedRun;
-        task.highestEndedRun = Math.max(task.highestEndedRun, end.run());
-        task.highestRun = Math.max(task.highestRun, end.run());
+        boolean newest = end.run() >= task.highestEndedRunNumber;
+        task.highestEndedRunNumber = Math.max(task.highestEndedRunNumber, end.run());
+        task.highestRunNumber = Math.max(task.highestRunNumber, end.run());
         switch (end.kind()) {
             case DONE -> markDone(task);
             case FAILED -> {
                 if (!task.step.spec.lasting()) {
-                    task.failedRuns.add(end.run());
+                    task.failedRunNumbers.add(end.run());
                 }
                 task.avoidedWorkerIds.add(worker.id);
             }
@@ -295,7 +297,8 @@
     }
 
     /**
-     * Updates the failure record of a worker, and the run times of an image, with the end of a run.
+     * Updates the failure detector of a worker, and the run times of an image, with the end of a
+     * run.
      *
      * @param job the job of the run
      * @param worker the worker that reports the end
@@ -315,9 +318,9 @@
     }
 
     /**
-     * Updates the failure record of a worker with a failed run. The failure does not count against
-     * the worker if the submission has also failed on another worker, or if so many workers are
-     * suspect that the submissions are the likely cause.
+     * Updates the failure detector of a worker with a failed run. The failure does not count
+     * against the worker if the submission has also failed on another worker, or if so many workers
+     * are suspect that the submissions are the likely cause.
      *
      * @param job the job of the run
      * @param worker the worker that ran it
@@ -391,11 +394,11 @@
      */
     private static boolean hasExhaustedAttempts(StepRecord step, int maxAttempts) {
         if (step.spec.gang()) {
-            int failures = step.tasks.stream().mapToInt(task -> task.failedRuns.size()).sum();
+            int failures = step.tasks.stream().mapToInt(task -> task.failedRunNumbers.size()).sum();
             return !step.isDone() && failures >= maxAttempts;
         }
         return step.tasks.stream()
-                .anyMatch(task -> !task.done && task.failedRuns.size() >= maxAttempts);
+                .anyMatch(task -> !task.done && task.failedRunNumbers.size() >= maxAttempts);
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
@@ -28,7 +28,7 @@
         for (OccurrenceRecord occurrence : job.occurrences.values()) {
             for (StepRecord step : occurrence.steps) {
                 for (TaskRecord task : step.tasks) {
-                    if (task.highestEndedRun > 0 || task.done || task.everRan) {
+                    if (task.highestEndedRunNumber > 0 || task.done || task.everRan) {
                         entries.add(Entry.of(task));
                     }
                 }
@@ -49,10 +49,10 @@
             if (task == null) {
                 continue;
             }
-            task.failedRuns.addAll(entry.failedRuns());
+            task.failedRunNumbers.addAll(entry.failedRuns());
             task.everRan = entry.ran();
-            task.highestEndedRun = entry.run();
-            task.highestRun = entry.run();
+            task.highestEndedRunNumber = entry.run();
+            task.highestRunNumber = entry.run();
             task.checkpoint = entry.checkpoint();
             if (entry.done()) {
                 task.step.markDone(task);
@@ -102,8 +102,8 @@
                     task.id.step(),
                     task.id.index(),
                     task.done,
-                    List.copyOf(task.failedRuns),
-                    task.highestEndedRun,
+                    List.copyOf(task.failedRunNumbers),
+                    task.highestEndedRunNumber,
                     task.everRan,
                     task.done ? "" : task.checkpoint);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
@@ -17,10 +17,10 @@
     static final int FULL_PERCENT = 100;
 
     /** The identifier of the task. */
-    final TaskId id;
+    final TaskId taskId;
 
     /** The number of the run. */
-    final int run;
+    final int runNumber;
 
     /** The worker that runs it. */
     final WorkerRecord worker;
@@ -97,7 +97,9 @@
     long reportedLoad = UNKNOWN;
 
     /**
-     * The number of the first poll whose inventory shows whether the run is active on the worker.
+     * The number of the first poll sent after the last start or stop request was answered or timed
+     * out, or the worker restarted. Inventories of earlier polls may be outdated, so a run that
+     * they do not list may still be active.
      */
     long firstConclusivePoll;
 
@@ -122,8 +124,8 @@
     /**
      * Creates a record of a run that is not throttled.
      *
-     * @param id the identifier of the task
-     * @param run the number of the run
+     * @param taskId the identifier of the task
+     * @param runNumber the number of the run
      * @param worker the worker that runs it
      * @param task the task, or null if the run must only be stopped
      * @param reserved the resources that the run reserves on the worker
@@ -131,15 +133,15 @@
      * @param trackedSinceMillis the current time, in milliseconds
      */
     RunRecord(
-            TaskId id,
-            int run,
+            TaskId taskId,
+            int runNumber,
             WorkerRecord worker,
             @Nullable TaskRecord task,
             Resources reserved,
             RunPhase phase,
             long trackedSinceMillis) {
-        this.id = id;
-        this.run = run;
+        this.taskId = taskId;
+        this.runNumber = runNumber;
         this.worker = worker;
         this.task = task;
         this.reserved = reserved;
@@ -163,7 +165,7 @@
      * @return the key
      */
     RunKey key() {
-        return new RunKey(id, run);
+        return new RunKey(taskId, runNumber);
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -5,7 +5,7 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * Sends requests to start, stop and throttle runs to workers.
+ * Sends requests to workers: to start, stop and throttle runs.
  *
  * <p>After a start request without an answer, the state of the run is uncertain. It is resolved by
  * an inventory that lists the run, or by an acknowledged request to stop that very run.
@@ -39,7 +39,7 @@
      */
     private static final long INVALID_BACKOFF_MILLIS = 1_000;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Called when the waiting tasks or the free resources may have changed. */
@@ -51,7 +51,7 @@
     /**
      * Creates a sender without requests in flight.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param onCapacityChange called when the waiting tasks or the free resources may have changed
      * @param onHigherToken called when a worker has seen a higher fencing token
      */
@@ -66,16 +66,16 @@
      *
      * @param task the task
      * @param worker the worker
-     * @param run the number of the run, higher than those of all earlier runs of the task
+     * @param runNumber the number of the run, higher than those of all earlier runs of the task
      * @param ticket the ticket of the advice service, or an empty string if none is needed
      */
-    void start(TaskRecord task, WorkerRecord worker, int run, String ticket) {
+    void start(TaskRecord task, WorkerRecord worker, int runNumber, String ticket) {
         long now = core.now();
-        task.highestRun = run;
+        task.highestRunNumber = runNumber;
         RunRecord record =
                 new RunRecord(
                         task.id,
-                        run,
+                        runNumber,
                         worker,
                         task,
                         task.step.spec.reserved(),
@@ -86,10 +86,10 @@
         worker.addRun(record);
         long leaseEnd = core.leases.leaseEnd(worker, now);
         core.leases.noteGrant(worker, leaseEnd, now);
-        StartOrder order =
+        StartOrder request =
                 new StartOrder(
                         task.id,
-                        run,
+                        runNumber,
                         task.step.occurrence.job.accepted.submission().payload(),
                         leaseEnd,
                         core.term.generation(),
@@ -103,7 +103,7 @@
                 "task",
                 task.id,
                 "run",
-                run,
+                runNumber,
                 "worker",
                 worker.id,
                 "leaseEnd",
@@ -112,7 +112,7 @@
                 worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        core.calls.start(worker.address(), order, reply -> onStartReply(record, reply));
+        core.calls.start(worker.address(), request, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -137,9 +137,9 @@
         core.log.log(
                 "run.refused",
                 "task",
-                record.id,
+                record.taskId,
                 "run",
-                record.run,
+                record.runNumber,
                 "worker",
                 worker.id,
                 "status",
@@ -197,7 +197,13 @@
         if (record.phase != RunPhase.STOPPING) {
             record.phase = RunPhase.STOPPING;
             core.log.log(
-                    "run.stop", "task", record.id, "run", record.run, "worker", record.worker.id);
+                    "run.stop",
+                    "task",
+                    record.taskId,
+                    "run",
+                    record.runNumber,
+                    "worker",
+                    record.worker.id);
         }
         sendStop(record);
     }
@@ -214,8 +220,8 @@
         record.stopRequestInFlight = true;
         core.calls.stop(
                 record.worker.address(),
-                record.id,
-                record.run,
+                record.taskId,
+                record.runNumber,
                 core.term.generation(),
                 reply -> onStopReply(record, reply));
     }
@@ -250,7 +256,7 @@
     }
 
     /**
-     * Sends the wanted CPU limit of a run, unless such a request is in flight.
+     * Sends the wanted CPU limit of a run to its worker, unless such a request is in flight.
      *
      * @param record the run, whose wanted limit differs from the confirmed one or must be sent
      *     again
@@ -265,8 +271,8 @@
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
         core.calls.pace(
                 record.worker.address(),
-                record.id,
-                record.run,
+                record.taskId,
+                record.runNumber,
                 wantedPercent,
                 core.term.generation(),
                 reply -> {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -63,7 +63,7 @@
     /** The progress of a finished run, in percent. */
     private static final double COMPLETE_PERCENT = 100;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Selects the worker that takes over a task. */
@@ -78,7 +78,7 @@
     /**
      * Creates a mitigator for the runs of a cell.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param workerSelector selects the worker that takes over a task
      * @param requestSender stops the runs to move
      * @param runTimes estimates run times
@@ -216,9 +216,9 @@
         core.log.log(
                 "run.move",
                 "task",
-                run.id,
+                run.taskId,
                 "run",
-                run.run,
+                run.runNumber,
                 "worker",
                 run.worker.id,
                 "progress",
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskRecord.java
@@ -29,16 +29,16 @@
      * The numbers of the failed runs, empty for a long-running task, which may fail any number of
      * times. It is a set because workers may report an end more than once and in any order.
      */
-    final Set<Integer> failedRuns = new TreeSet<>();
+    final Set<Integer> failedRunNumbers = new TreeSet<>();
 
     /** Whether a worker has ever confirmed a run; recorded for long-running tasks only. */
     boolean everRan;
 
     /** The highest number of a run whose end is recorded, 0 for none. */
-    int highestEndedRun;
+    int highestEndedRunNumber;
 
     /** The highest number of a run that was started or reported, 0 for none. */
-    int highestRun;
+    int highestRunNumber;
 
     /** The checkpoint from which the next run resumes, empty for none. */
     String checkpoint = "";
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -47,7 +47,7 @@
     /** The maximum number of starts in a pass, which bounds its duration. A gang is never split. */
     private static final int MAX_STARTS_PER_PASS = 64;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Selects workers. */
@@ -71,7 +71,7 @@
     /**
      * Creates a scheduler for the jobs of a cell.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param workerSelector selects workers
      * @param requestSender sends the start requests
      * @param runTimes estimates run times
@@ -259,7 +259,10 @@
                 return;
             }
             requestSender.start(
-                    task, worker, nextRunNumber(task.highestRun), advice.ticket(step, worker));
+                    task,
+                    worker,
+                    nextRunNumber(task.highestRunNumber),
+                    advice.ticket(step, worker));
             startCount++;
         }
     }
@@ -271,22 +274,23 @@
      */
     private void startGang(StepRecord step) {
         long now = core.now();
-        int highestRun = 0;
+        int highestRunNumber = 0;
         for (TaskRecord task : step.tasks) {
             if (!task.isWaiting(now)) {
                 return;
             }
-            highestRun = Math.max(highestRun, task.highestRun);
+            highestRunNumber = Math.max(highestRunNumber, task.highestRunNumber);
         }
         List<WorkerRecord> workers = workerSelector.selectWorkersForGang(step);
         if (workers.isEmpty()) {
             requestTickets(step);
             return;
         }
-        int run = nextRunNumber(highestRun);
+        int runNumber = nextRunNumber(highestRunNumber);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
-            requestSender.start(step.tasks.get(index), worker, run, advice.ticket(step, worker));
+            requestSender.start(
+                    step.tasks.get(index), worker, runNumber, advice.ticket(step, worker));
             startCount++;
         }
     }
@@ -305,11 +309,11 @@
     /**
      * Returns the number of the next run of a task.
      *
-     * @param highestRun the highest known number of a run of the task
+     * @param highestRunNumber the highest known number of a run of the task
      * @return the number, higher than those that any former owner has used
      */
-    private int nextRunNumber(int highestRun) {
-        return Math.max(highestRun, core.term.runBase()) + 1;
+    private int nextRunNumber(int highestRunNumber) {
+        return Math.max(highestRunNumber, core.term.runBase()) + 1;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerFailureDetector.java
@@ -28,10 +28,10 @@
     private String lastFailedSubmission = "";
 
     /**
-     * The number of times in a row that a run failed whose submission differs from that of the
-     * failure before.
+     * The number of failures since the last successful run, where consecutive failures of the same
+     * submission count once.
      */
-    private int consecutiveFailures;
+    private int consecutiveFailedSubmissions;
 
     /** How long the worker gets no starts if it becomes suspect again, in milliseconds. */
     private long penaltyMillis = INITIAL_PENALTY_MILLIS;
@@ -45,7 +45,7 @@
     /** Records a successful run, which clears the suspicion. */
     void recordSuccess() {
         lastFailedSubmission = "";
-        consecutiveFailures = 0;
+        consecutiveFailedSubmissions = 0;
         penaltyMillis = INITIAL_PENALTY_MILLIS;
         suspectUntilMillis = 0;
     }
@@ -59,10 +59,11 @@
      */
     boolean recordFailure(String submission, long nowMillis) {
         if (!submission.equals(lastFailedSubmission)) {
-            consecutiveFailures++;
+            consecutiveFailedSubmissions++;
             lastFailedSubmission = submission;
         }
-        if (consecutiveFailures < MIN_FAILED_SUBMISSIONS || nowMillis < suspectUntilMillis) {
+        if (consecutiveFailedSubmissions < MIN_FAILED_SUBMISSIONS
+                || nowMillis < suspectUntilMillis) {
             return false;
         }
         suspectUntilMillis = nowMillis + penaltyMillis;
@@ -87,6 +88,6 @@
      * @return whether it is on probation
      */
     boolean isOnProbation() {
-        return consecutiveFailures >= MIN_FAILED_SUBMISSIONS;
+        return consecutiveFailedSubmissions >= MIN_FAILED_SUBMISSIONS;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerLooks.java
@@ -109,15 +109,15 @@
             core.schedule(core.settings.lookRetryMillis(), () -> look(worker));
             return;
         }
-        if (reply.bornUnixMillis() < worker.bornUnixMillis) {
+        if (reply.bornUnixMillis() < worker.bootUnixMillis) {
             look(worker);
             return;
         }
         long now = core.now();
-        if (worker.bornUnixMillis != 0 && reply.bornUnixMillis() > worker.bornUnixMillis) {
+        if (worker.bootUnixMillis != 0 && reply.bornUnixMillis() > worker.bootUnixMillis) {
             restarted(worker, reply.bornUnixMillis());
         }
-        worker.bornUnixMillis = reply.bornUnixMillis();
+        worker.bootUnixMillis = reply.bornUnixMillis();
         worker.clockMillis = reply.clockMillis();
         worker.clockReadAtMillis = now;
         worker.answeredAtMillis = now;
@@ -148,9 +148,9 @@
                 "born",
                 bornUnixMillis,
                 "before",
-                worker.bornUnixMillis);
+                worker.bootUnixMillis);
         worker.fenced = false;
-        worker.bornUnixMillis = bornUnixMillis;
+        worker.bootUnixMillis = bornUnixMillis;
         worker.clockMillis = WorkerRecord.NO_CLOCK;
         worker.provenClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
@@ -244,7 +244,7 @@
         record.everThrottled = true;
         worker.addRun(record);
         if (task != null) {
-            task.highestRun = Math.max(task.highestRun, view.run());
+            task.highestRunNumber = Math.max(task.highestRunNumber, view.run());
         }
         core.log.log(
                 "run.adopted",
@@ -271,7 +271,7 @@
      * @return whether it may
      */
     private static boolean elsewhere(TaskRecord task, RunView view) {
-        return task.runs.isEmpty() && view.run() > task.highestEndedRun;
+        return task.runs.isEmpty() && view.run() > task.highestEndedRunNumber;
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -65,7 +65,7 @@
      * When the boot that answered last began, in milliseconds since 1970, or 0 before the first
      * answer.
      */
-    long bornUnixMillis;
+    long bootUnixMillis;
 
     /** The last reading of the worker's clock, in milliseconds, or {@link #NO_CLOCK}. */
     long clockMillis = NO_CLOCK;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -76,7 +76,7 @@
     /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellCore core;
 
     /** Predicts the impact of fillers on serving tasks. */
@@ -88,7 +88,7 @@
     /**
      * Creates a selector of workers.
      *
-     * @param core the state, settings and ports shared by the components of the cell's owner
+     * @param core the shared state of the cell's owner
      * @param fillerThrottle predicts the impact of fillers on serving tasks
      * @param advice holds the tickets for routes that need advice
      */
@@ -249,9 +249,9 @@
         }
         int runsOfStep = 0;
         for (RunRecord run : worker.runs.values()) {
-            if (run.id.submission().equals(step.occurrence.job.id())
-                    && run.id.occurrence() == step.occurrence.number
-                    && run.id.step() == step.number) {
+            if (run.taskId.submission().equals(step.occurrence.job.id())
+                    && run.taskId.occurrence() == step.occurrence.number
+                    && run.taskId.step() == step.number) {
                 runsOfStep++;
             }
         }
@@ -271,7 +271,7 @@
         long capacity = worker.entry.capacity().cpuMillicores();
         if (spec.filling()) {
             return !worker.throttleState.paused
-                    && fillerMillicores(worker) + spec.need().cpuMillicores()
+                    && fillerRequestMillicores(worker) + spec.need().cpuMillicores()
                             <= idleMillicores(worker);
         }
         if (spec.lasting() && !task.everRan) {
@@ -288,7 +288,7 @@
      * @param worker the worker
      * @return the CPU, in millicores
      */
-    private static long fillerMillicores(WorkerRecord worker) {
+    private static long fillerRequestMillicores(WorkerRecord worker) {
         long requested = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.isFiller() && run.task != null) {
@@ -327,14 +327,13 @@
     }
 
     /**
-     * Returns how many of the serving tasks of a worker run another image. Tasks of one image
+     * Returns the fraction of a worker's serving tasks that run another image. Tasks of one image
      * tolerate the same fillers, so a worker whose serving tasks all have one image can run fillers
      * that harm none of them.
      *
      * @param worker the worker
      * @param image the image of the task to place
-     * @return the fraction of the worker's serving tasks that have another image, or a constant if
-     *     it has no serving task
+     * @return the fraction, or {@link #NO_SERVING_TASK_MISMATCH} if the worker has no serving task
      */
     private static double imageMismatch(WorkerRecord worker, String image) {
         int serving = 0;
@@ -369,7 +368,7 @@
         }
         if (spec.filling()) {
             double fillerLoad =
-                    (double) fillerMillicores(worker) / Math.max(1, idleMillicores(worker));
+                    (double) fillerRequestMillicores(worker) / Math.max(1, idleMillicores(worker));
             double impact = fillerThrottle.predictImpact(worker, spec);
             return impact > allowedImpact(task)
                     ? REJECTED_SCORE
