--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerCpuShares.java
@@ -12,7 +12,7 @@
 
     /**
      * Computes the CPU shares that the fillers of a worker use at the limits that the worker has
-     * confirmed.
+     * confirmed. A filler whose limit is not known counts as paused.
      *
      * @param worker the worker
      * @return the shares by image, as fractions of the worker's CPU
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -134,7 +134,7 @@
             sendLimits(worker);
             return;
         }
-        boolean comparable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
+        boolean attributable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
         long maxOverTargetMillis = 0;
         double maxLatencyRatio = 0;
         for (RunRecord run : worker.runs.values()) {
@@ -148,7 +148,7 @@
                             ? latencyRatio
                             : run.smoothedLatencyRatio
                                     + SMOOTHING_WEIGHT * (latencyRatio - run.smoothedLatencyRatio);
-            if (comparable && run.task != null) {
+            if (attributable && run.task != null) {
                 interference.observe(run.task.step.spec.image(), latencyRatio, state.lastCpuShares);
             }
             maxOverTargetMillis =
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/Job.java
@@ -28,7 +28,7 @@
     /** The current state; a final state may not be stored yet. */
     SubmissionState state = SubmissionState.QUEUED;
 
-    /** The number of changes to the job that have to be stored. */
+    /** The version of the job, raised by each change that has to be stored. */
     long version;
 
     /** The highest version that is known to be stored. */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -226,8 +226,8 @@
                 task.avoidedWorkerIds.add(worker.id);
             }
             default -> {
-                // A run that was ended from outside says nothing about the task; only its
-                // checkpoint is kept.
+                // A run that was stopped, expired or lost its gang says nothing about the task;
+                // only its checkpoint is kept.
             }
         }
         if (newest) {
@@ -239,7 +239,8 @@
     }
 
     /**
-     * Marks a task as done and stops its other runs. A member of a gang completes the whole gang.
+     * Marks a task as done and stops its other runs. A member of a gang that is done completes the
+     * whole gang, whose runs are not stopped here.
      *
      * @param task the task
      */
@@ -309,7 +310,7 @@
             Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
         if (end.kind() == EndKind.DONE) {
             worker.failureDetector.recordSuccess();
-            if (record != null && record.task != null && record.hasFullRunTime()) {
+            if (record != null && record.task != null && record.hasRepresentativeRunTime()) {
                 runTimes.observe(record.task.step.spec, core.now() - record.trackedSinceMillis);
             }
         } else if (end.kind() == EndKind.FAILED) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRecord.java
@@ -173,7 +173,7 @@
      *
      * @return whether the duration of the run is the duration of the task
      */
-    boolean hasFullRunTime() {
+    boolean hasRepresentativeRunTime() {
         return !everThrottled && startCheckpoint.isEmpty();
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StepRecord.java
@@ -28,8 +28,8 @@
     final Map<String, AdviceTicket> ticketsByWorkerId = new HashMap<>();
 
     /**
-     * The identifiers of the workers that the advice service has rejected for this step. It does
-     * not change its answer.
+     * The identifiers of the workers that the advice service has rejected for this step. The
+     * service does not change its answer.
      */
     final Set<String> rejectedWorkerIds = new HashSet<>();
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -221,8 +221,8 @@
      * Returns whether the worker may get starts.
      *
      * @param nowMillis the current time, in milliseconds
-     * @return whether it is registered, fenced, recently heard from, in the stored roster, not
-     *     draining and not avoided
+     * @return whether the worker is registered, has answered recently in its current boot, is in
+     *     the stored roster, has a proven clock reading, and is neither draining nor avoided
      */
     boolean isUsable(long nowMillis) {
         boolean registered = listed || nowMillis - unlistedSinceMillis < UNLISTED_GRACE_MILLIS;
