--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -95,18 +95,19 @@
         }
         List<WorkerRecord> candidates = new ArrayList<>();
         for (WorkerRecord worker : context.allWorkers()) {
-            boolean hasCapacity = worker.free().covers(step.spec.reserved());
+            boolean hasCapacity = worker.freeResources().covers(step.spec.reserved());
             boolean ticketMissing =
                     !step.rejectedWorkerIds.contains(worker.id)
                             && usableTicket(step, worker).isEmpty();
-            if (hasCapacity && ticketMissing && worker.usable(now)) {
+            if (hasCapacity && ticketMissing && worker.isUsable(now)) {
                 candidates.add(worker);
             }
         }
         if (candidates.isEmpty()) {
             return;
         }
-        candidates.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
+        candidates.sort(
+                Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         List<WorkerRecord> requested =
                 candidates.subList(0, Math.min(MAX_WORKERS_PER_REQUEST, candidates.size()));
         requestInFlight = true;
@@ -157,7 +158,7 @@
             } else {
                 step.ticketsByWorkerId.put(
                         worker.id,
-                        new AdviceTicket(ticket, worker.bornUnixMillis, validUntilMillis));
+                        new AdviceTicket(ticket, worker.bootUnixMillis, validUntilMillis));
             }
         }
         onAnswered.run();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -244,7 +244,7 @@
             poller.expireRuns(worker);
             drainController.update(worker);
             boolean gone =
-                    !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
+                    !worker.listed && worker.runs.isEmpty() && now >= worker.leasesExpireAtMillis;
             if (gone) {
                 context.workers.remove(worker.id);
                 context.unfencedWorkerIds.remove(worker.id);
@@ -421,7 +421,7 @@
         @Override
         public void onUpdated(WorkerRecord worker, WorkerEntry previousEntry) {
             long born = worker.entry.bootUnixMillis();
-            if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
+            if (born != 0 && worker.bootUnixMillis != 0 && born > worker.bootUnixMillis) {
                 poller.resetAfterRestart(worker, born);
             }
             poller.poll(worker);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -357,7 +357,7 @@
                     }
                 });
         for (WorkerRecord worker : batch.rosterWorkers) {
-            worker.enrolled = true;
+            worker.inStoredRoster = true;
         }
         advanceAcknowledgements();
         if (!queuedJobs.isEmpty() || rosterQueued) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -97,7 +97,7 @@
      */
     private static final double HARMLESS_FRACTION = 0.6;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellContext context;
 
     /** Sends the CPU limits to the workers. */
@@ -109,7 +109,7 @@
     /**
      * Creates a throttle for the fillers of all workers of a cell.
      *
-     * @param context the state, settings and ports shared by the components of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param requestSender sends the CPU limits to the workers
      * @param interference learns and predicts the effect of fillers on tail latencies, by pair of
      *     images
@@ -135,7 +135,7 @@
             sendLimits(worker);
             return;
         }
-        boolean comparable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
+        boolean attributable = gapMillis <= MAX_EVALUATION_GAP_MILLIS;
         long maxOverTargetMillis = 0;
         double maxLatencyRatio = 0;
         for (RunRecord run : worker.runs.values()) {
@@ -149,7 +149,7 @@
                             ? latencyRatio
                             : run.smoothedLatencyRatio
                                     + SMOOTHING_WEIGHT * (latencyRatio - run.smoothedLatencyRatio);
-            if (comparable && run.task != null) {
+            if (attributable && run.task != null) {
                 interference.observe(run.task.step.spec.image(), latencyRatio, state.lastCpuShares);
             }
             maxOverTargetMillis =
@@ -220,15 +220,16 @@
      */
     private void throttleTopContributors(WorkerRecord worker) {
         Map<RunRecord, Double> contributions = new LinkedHashMap<>();
-        double largest = 0;
+        double largestContribution = 0;
         for (RunRecord run : worker.runs.values()) {
             if (run.isFiller()) {
                 double contribution = contribution(worker, run);
                 contributions.put(run, contribution);
-                largest = Math.max(largest, contribution);
+                largestContribution = Math.max(largestContribution, contribution);
             }
         }
-        double threshold = Math.max(MIN_CONTRIBUTION, largest * TOP_CONTRIBUTION_FRACTION);
+        double threshold =
+                Math.max(MIN_CONTRIBUTION, largestContribution * TOP_CONTRIBUTION_FRACTION);
         contributions.forEach(
                 (run, contribution) -> {
                     if (contribution >= threshold) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -55,8 +55,8 @@
      */
     void recordGrant(WorkerRecord worker, long leaseEnd, long nowMillis) {
         long workerMillis = Math.max(0, leaseEnd - lowestWorkerClock(worker, nowMillis));
-        worker.leaseOverAtMillis =
-                Math.max(worker.leaseOverAtMillis, nowMillis + toOwnerMillis(workerMillis));
+        worker.leasesExpireAtMillis =
+                Math.max(worker.leasesExpireAtMillis, nowMillis + toOwnerMillis(workerMillis));
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -74,21 +74,21 @@
      * @param worker the worker
      */
     void poll(WorkerRecord worker) {
-        if (context.ended || worker.looking || context.workers.get(worker.id) != worker) {
+        if (context.ended || worker.pollInFlight || context.workers.get(worker.id) != worker) {
             return;
         }
-        worker.looking = true;
-        worker.lookNumber++;
-        long pollNumber = worker.lookNumber;
+        worker.pollInFlight = true;
+        worker.lastPollNumber++;
+        long pollNumber = worker.lastPollNumber;
         long now = context.now();
         boolean awaitingOwnershipCheck =
                 !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerClient.LEASE_UNCHANGED;
-        if (!awaitingOwnershipCheck && worker.missedLooks == 0) {
+        if (!awaitingOwnershipCheck && worker.missedPolls == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
             context.leases.recordGrant(worker, leaseEnd, now);
         }
-        boolean sameBoot = worker.missedLooks == 0;
+        boolean sameBoot = worker.missedPolls == 0;
         HeartbeatRequest order =
                 new HeartbeatRequest(
                         leaseEnd,
@@ -107,30 +107,30 @@
      * @param reply the answer
      */
     private void onReply(WorkerRecord worker, long pollNumber, WorkerReply reply) {
-        worker.looking = false;
+        worker.pollInFlight = false;
         if (context.ended || context.workers.get(worker.id) != worker) {
             return;
         }
         Inventory inventory = reply.inventory();
         if (reply.status() != WorkerStatus.OK || inventory == null) {
-            worker.missedLooks++;
+            worker.missedPolls++;
             listener.onPollFailed(worker, reply);
             context.schedule(context.settings.pollRetryMillis(), () -> poll(worker));
             return;
         }
-        if (reply.bootUnixMillis() < worker.bornUnixMillis) {
+        if (reply.bootUnixMillis() < worker.bootUnixMillis) {
             poll(worker);
             return;
         }
         long now = context.now();
-        if (worker.bornUnixMillis != 0 && reply.bootUnixMillis() > worker.bornUnixMillis) {
+        if (worker.bootUnixMillis != 0 && reply.bootUnixMillis() > worker.bootUnixMillis) {
             resetAfterRestart(worker, reply.bootUnixMillis());
         }
-        worker.bornUnixMillis = reply.bootUnixMillis();
+        worker.bootUnixMillis = reply.bootUnixMillis();
         worker.clockMillis = reply.clockMillis();
         worker.clockReadAtMillis = now;
         worker.answeredAtMillis = now;
-        worker.missedLooks = 0;
+        worker.missedPolls = 0;
         boolean first = !worker.fenced;
         worker.fenced = true;
         mergeInventory(worker, pollNumber, inventory);
@@ -157,13 +157,13 @@
                 "born",
                 bornUnixMillis,
                 "before",
-                worker.bornUnixMillis);
+                worker.bootUnixMillis);
         worker.fenced = false;
-        worker.bornUnixMillis = bornUnixMillis;
+        worker.bootUnixMillis = bornUnixMillis;
         worker.clockMillis = WorkerRecord.NO_CLOCK;
         worker.provenClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
-        worker.takenSequence = 0;
+        worker.appliedSequence = 0;
         worker.acknowledgedSequence = 0;
         worker.pendingEnds.clear();
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
@@ -172,7 +172,7 @@
             if (mayArrive) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.stopAcknowledged = false;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             } else {
                 jobTracker.applyLoss(record, "the worker restarted");
             }
@@ -189,8 +189,8 @@
      */
     private void mergeInventory(WorkerRecord worker, long pollNumber, Inventory inventory) {
         for (EndedRun end : inventory.ended()) {
-            if (end.sequence() > worker.takenSequence) {
-                worker.takenSequence = end.sequence();
+            if (end.sequence() > worker.appliedSequence) {
+                worker.appliedSequence = end.sequence();
                 worker.pendingEnds.add(jobTracker.applyEnd(worker, end));
             }
         }
@@ -255,9 +255,9 @@
                         context.now());
         record.cpuLimitPercent = RunRecord.UNKNOWN;
         record.everThrottled = true;
-        worker.add(record);
+        worker.addRun(record);
         if (task != null) {
-            task.highestRun = Math.max(task.highestRun, view.run());
+            task.highestRunNumber = Math.max(task.highestRunNumber, view.run());
         }
         context.log.log(
                 "run.adopted",
@@ -284,7 +284,7 @@
      *     a higher one has ended
      */
     private static boolean mayContinue(TaskRecord task, ActiveRun view) {
-        return task.runs.isEmpty() && view.run() > task.highestEndedRun;
+        return task.runs.isEmpty() && view.run() > task.highestEndedRunNumber;
     }
 
     /**
@@ -318,7 +318,7 @@
      * @param worker the worker
      */
     void expireRuns(WorkerRecord worker) {
-        if (context.now() < worker.leaseOverAtMillis) {
+        if (context.now() < worker.leasesExpireAtMillis) {
             return;
         }
         for (RunRecord record : new ArrayList<>(worker.runs.values())) {
