--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/TableCommand.java
@@ -17,7 +17,7 @@
 import org.damasktiller.lab.settings.Settings;
 import org.damasktiller.lab.table.TableManifestFactory;
 import org.damasktiller.lab.table.TableSession;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.settings.Addresses;
 import org.damasktiller.table.CellEdits;
 import org.damasktiller.table.EditId;
@@ -210,7 +210,7 @@
      */
     private void printManifest(PrintStream output, OperatorTable operatorTable) {
         byte[] text =
-                OperatorFormats.manifest(
+                PlatformRecordEncoder.encodeManifest(
                         TableManifestFactory.create(operatorTable, service, manifestVersion));
         output.println(new String(text, StandardCharsets.UTF_8));
     }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 
 /**
  * Checks the guarantees of the scheduler: compares the replies to callers with the runs on the
@@ -16,7 +16,7 @@
     private final CallerSimulator callers;
 
     /** The runs on the simulated workers. */
-    private final RunAudit audit;
+    private final RunInvariantChecker audit;
 
     /** The tasks that callers have submitted. */
     private final SubmittedTaskBehaviour taskBehaviour;
@@ -29,7 +29,9 @@
      * @param taskBehaviour the tasks that callers have submitted
      */
     public GuaranteeChecker(
-            CallerSimulator callers, RunAudit audit, SubmittedTaskBehaviour taskBehaviour) {
+            CallerSimulator callers,
+            RunInvariantChecker audit,
+            SubmittedTaskBehaviour taskBehaviour) {
         this.callers = callers;
         this.audit = audit;
         this.taskBehaviour = taskBehaviour;
@@ -56,7 +58,7 @@
             }
             int attempts = tracked.route().maximumAttempts();
             if (tracked.state() == SubmissionState.FAILED
-                    && audit.mostFailures(tasksOf(tracked)) < attempts) {
+                    && audit.maximumFailures(tasksOf(tracked)) < attempts) {
                 found.add(id + ": reported as failed before its attempts were used up");
             }
             if (tracked.state() == SubmissionState.CANCELLED && !tracked.isCancelRequested()) {
@@ -117,7 +119,7 @@
      * @return the number of starts
      */
     private int countStarts(TrackedSubmission tracked) {
-        return tasksOf(tracked).stream().mapToInt(audit::starts).sum();
+        return tasksOf(tracked).stream().mapToInt(audit::startCount).sum();
     }
 
     /**
@@ -127,7 +129,7 @@
      * @return the number of active runs
      */
     private int countActiveRuns(TrackedSubmission tracked) {
-        return tasksOf(tracked).stream().mapToInt(audit::active).sum();
+        return tasksOf(tracked).stream().mapToInt(audit::activeRunCount).sum();
     }
 
     /**
@@ -137,6 +139,6 @@
      * @return whether all tasks are done
      */
     private boolean areAllTasksDone(TrackedSubmission tracked) {
-        return audit.done().containsAll(tasksOf(tracked));
+        return audit.succeededTasks().containsAll(tasksOf(tracked));
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -8,7 +8,7 @@
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.identity.ZoneName;
 import org.damasktiller.lab.rig.LabLoop;
-import org.damasktiller.platform.call.PlatformCaller;
+import org.damasktiller.platform.call.JsonHttpClient;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.table.TableRepository;
 
@@ -34,9 +34,9 @@
      * @param zones the availability zones that the table may name
      */
     public TableSession(InetSocketAddress store, Set<ZoneName> zones) {
-        PlatformCaller caller = new PlatformCaller(loop.eventloop(), STORE_TIMEOUT_MILLIS);
+        JsonHttpClient client = new JsonHttpClient(loop.eventloop(), STORE_TIMEOUT_MILLIS);
         MetadataKeyValueStore keyValueStore =
-                new MetadataKeyValueStore(new HttpMetadataStore(caller, caller, store));
+                new MetadataKeyValueStore(new HttpMetadataStore(client, client, store));
         repository = new TableRepository(keyValueStore, zones, loop.runtime()::unixMillis, () -> 0);
     }
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -27,7 +27,7 @@
  */
 public final class ClusterMember {
 
-    /** The interval at which vacant cells are looked for, in milliseconds. */
+    /** The interval at which the process tries to win vacant cells, in milliseconds. */
     private static final long ELECTION_INTERVAL_MILLIS = 100;
 
     /** The interval at which the registration of this process is checked, in milliseconds. */
@@ -58,15 +58,15 @@
     private final ClusterContext context;
 
     /** The calls to workers. */
-    private final WorkerClient calls;
+    private final WorkerClient workerCalls;
 
     /** The calls to the advice service. */
-    private final AdviceClient advice;
+    private final AdviceClient adviceCalls;
 
     /** Reads and writes the platform's record formats. */
     private final PlatformRecordDecoder formats;
 
-    /** The election of each cell in the current and earlier manifests, by the cell's name. */
+    /** The elections of all cells of the current and earlier manifests, by the cell's name. */
     private final Map<String, CellElection> elections = new HashMap<>();
 
     /** The owners of the cells that this process has won, by the cell's name. */
@@ -93,8 +93,8 @@
      * @param layout maps services and zones to cells
      * @param settings the settings of the cells
      * @param store the store
-     * @param calls the calls to workers
-     * @param advice the calls to the advice service
+     * @param workerCalls the calls to workers
+     * @param adviceCalls the calls to the advice service
      * @param formats reads and writes the platform's record formats
      * @param runtime the clock and the timers
      * @param log the log
@@ -104,16 +104,16 @@
             CellLayout layout,
             CellSettings settings,
             MetadataStore store,
-            WorkerClient calls,
-            AdviceClient advice,
+            WorkerClient workerCalls,
+            AdviceClient adviceCalls,
             PlatformRecordDecoder formats,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.identity = identity;
         this.layout = layout;
         this.settings = settings;
-        this.calls = calls;
-        this.advice = advice;
+        this.workerCalls = workerCalls;
+        this.adviceCalls = adviceCalls;
         this.formats = formats;
         StoreSession session = new StoreSession(store, runtime, log, settings.storeLeaseMillis());
         ClusterView view = new ClusterView(store, runtime, log, this::attemptElections);
@@ -134,10 +134,13 @@
         Map<String, CellOwner> ownersToStop = new HashMap<>(owners);
         ownersToStop.forEach(
                 (cell, owner) -> {
+                    // Read before stop, which removes the term.
                     CellTerm term = terms.get(cell);
                     owner.stop("the process is leaving the cluster");
                     CellElection election = elections.get(cell);
                     if (term != null && election != null) {
+                        // One transaction wrote the owner key and the head key, so that both had
+                        // this revision when the term began.
                         election.resign(term.headRevision());
                     }
                 });
@@ -278,20 +281,20 @@
      * @param term the term that begins
      */
     private void startTerm(String cell, CellTerm term) {
-        Manifest inForce = manifest;
-        if (inForce == null) {
+        Manifest currentManifest = manifest;
+        if (currentManifest == null) {
             return;
         }
         CellEnvironment environment =
                 new CellEnvironment(
                         settings,
                         context.store(),
-                        calls,
-                        advice,
+                        workerCalls,
+                        adviceCalls,
                         formats,
                         context.runtime(),
                         context.log(),
-                        inForce);
+                        currentManifest);
         CellOwner owner =
                 new CellOwner(
                         environment,
@@ -302,13 +305,15 @@
         owners.put(cell, owner);
         terms.put(cell, term);
         owner.start();
+        // The process may have begun to leave while the attempt was pending.
         if (leaving) {
             leave();
         }
     }
 
     /**
-     * Removes the owner of a cell whose term has ended.
+     * Removes the owner of a cell whose term has ended, for whatever reason, and allows new
+     * attempts to win the cell.
      *
      * @param cell the cell's name
      */
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -23,12 +23,12 @@
 import org.damasktiller.node.cluster.NodeIdentity;
 import org.damasktiller.node.log.JsonLineLog;
 import org.damasktiller.node.metrics.EventMetrics;
-import org.damasktiller.platform.advice.HttpAdviceCalls;
-import org.damasktiller.platform.call.PlatformCaller;
+import org.damasktiller.platform.advice.HttpAdviceClient;
+import org.damasktiller.platform.call.JsonHttpClient;
 import org.damasktiller.platform.http.EventLoops;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
-import org.damasktiller.platform.order.HttpWorkerCalls;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.order.HttpWorkerClient;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.platform.settings.PlatformSettings;
 import org.damasktiller.platform.settings.SettingsReader;
 import org.damasktiller.scheduler.cell.CellLayout;
@@ -134,14 +134,14 @@
         runtime = new EventLoopRuntime(eventloop, clock, log);
         MetadataStore store =
                 new HttpMetadataStore(
-                        new PlatformCaller(eventloop, STORE_TIMEOUT_MILLIS),
-                        new PlatformCaller(eventloop, WATCH_TIMEOUT_MILLIS),
+                        new JsonHttpClient(eventloop, STORE_TIMEOUT_MILLIS),
+                        new JsonHttpClient(eventloop, WATCH_TIMEOUT_MILLIS),
                         settings.storeAddress());
-        PlatformRecords records = new PlatformRecords();
+        JsonPlatformRecordDecoder records = new JsonPlatformRecordDecoder();
         CellLayout cellLayout = new CellLayout(settings.zones());
         CellSettings cellSettings =
                 CellSettings.builder()
-                        .maximumOverTargetMillis(settings.bounds().harmMillis())
+                        .maximumOverTargetMillis(settings.bounds().longestFillerImpactMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
                         .maximumWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
                         .minimumStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
@@ -153,9 +153,9 @@
                         cellLayout,
                         cellSettings,
                         store,
-                        new HttpWorkerCalls(
-                                new PlatformCaller(eventloop, WORKER_TIMEOUT_MILLIS),
-                                new PlatformCaller(eventloop, WORKER_POLL_TIMEOUT_MILLIS)),
+                        new HttpWorkerClient(
+                                new JsonHttpClient(eventloop, WORKER_TIMEOUT_MILLIS),
+                                new JsonHttpClient(eventloop, WORKER_POLL_TIMEOUT_MILLIS)),
                         createAdviceCalls(),
                         records,
                         runtime,
@@ -224,8 +224,8 @@
         InetSocketAddress address = settings.adviceAddress();
         return address == null
                 ? AdviceClient.NONE
-                : new HttpAdviceCalls(
-                        new PlatformCaller(eventloop, ADVICE_TIMEOUT_MILLIS), address);
+                : new HttpAdviceClient(
+                        new JsonHttpClient(eventloop, ADVICE_TIMEOUT_MILLIS), address);
     }
 
     /**
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -15,10 +15,10 @@
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.Submission;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.StoreClient;
-import org.damasktiller.standin.metadata.StoreModel;
-import org.damasktiller.standin.time.PausedRuntime;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultInjectingStoreClient;
+import org.damasktiller.standin.metadata.InMemoryStore;
+import org.damasktiller.standin.time.VirtualTimeRuntime;
 import org.junit.jupiter.api.Test;
 
 /** Tests the responses to submissions while the store works and while it fails. */
@@ -28,10 +28,10 @@
     private static final String ID = "00000000000000a1";
 
     /** The clock and the timers, which the tests advance. */
-    private final PausedRuntime runtime = new PausedRuntime();
+    private final VirtualTimeRuntime runtime = new VirtualTimeRuntime();
 
     /** The contents of the store. */
-    private final StoreModel store = new StoreModel(runtime);
+    private final InMemoryStore store = new InMemoryStore(runtime);
 
     /** The responses that the acceptor has sent. */
     private final List<CallerResponse> responses = new ArrayList<>();
@@ -55,13 +55,13 @@
 
     @Test
     void lostResponseIsResolvedByRetry() {
-        submit(List.of(CallFate.ANSWER_LOST));
+        submit(List.of(CallFault.ANSWER_LOST));
         assertThat(status(), equalTo(200));
     }
 
     @Test
     void refusedSubmissionIsNeverStored() {
-        submit(repeat(CallFate.REFUSED));
+        submit(repeat(CallFault.REFUSED));
         assertThat(status(), equalTo(503));
         runtime.advance(20_000);
         assertThat(store.value(CellKeys.submission(ID)), nullValue());
@@ -69,8 +69,8 @@
 
     @Test
     void refusalsAfterWriteWithoutResponseLeaveOutcomeUnknown() {
-        List<CallFate> fates = new ArrayList<>(repeat(CallFate.REFUSED));
-        fates.set(0, CallFate.LATE);
+        List<CallFault> fates = new ArrayList<>(repeat(CallFault.REFUSED));
+        fates.set(0, CallFault.LATE);
         submit(fates);
         assertThat(status(), equalTo(504));
         runtime.advance(20_000);
@@ -79,7 +79,7 @@
 
     @Test
     void unresponsiveStoreTimesOutBeforeTheDeadline() {
-        submit(repeat(CallFate.LOST));
+        submit(repeat(CallFault.LOST));
         assertThat(status(), equalTo(504));
         assertThat(respondedAtMillis, lessThan(1_700L));
     }
@@ -89,16 +89,16 @@
      *
      * @param fates what happens to the first calls to the store; later calls succeed
      */
-    private void submit(List<CallFate> fates) {
-        Iterator<CallFate> remainingFates = fates.iterator();
-        StoreClient client =
-                new StoreClient(
+    private void submit(List<CallFault> fates) {
+        Iterator<CallFault> remainingFates = fates.iterator();
+        FaultInjectingStoreClient client =
+                new FaultInjectingStoreClient(
                         store,
                         runtime,
                         call ->
                                 remainingFates.hasNext()
                                         ? remainingFates.next()
-                                        : CallFate.ANSWERED);
+                                        : CallFault.ANSWERED);
         SubmissionAcceptor acceptor =
                 new SubmissionAcceptor(
                         client,
@@ -152,8 +152,8 @@
      * @param fate what happens to each call
      * @return 60 times the fate
      */
-    private static List<CallFate> repeat(CallFate fate) {
-        List<CallFate> fates = new ArrayList<>();
+    private static List<CallFault> repeat(CallFault fate) {
+        List<CallFault> fates = new ArrayList<>();
         for (int call = 0; call < 60; call++) {
             fates.add(fate);
         }
