--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.CompletableFuture;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.damasktiller.lab.load.CallerLoad;
-import org.damasktiller.lab.load.PromiseCheck;
-import org.damasktiller.lab.load.SubmittedWork;
-import org.damasktiller.lab.load.WorkItem;
+import org.damasktiller.lab.load.CallerSimulator;
+import org.damasktiller.lab.load.GuaranteeChecker;
+import org.damasktiller.lab.load.SubmittedTaskBehaviour;
+import org.damasktiller.lab.load.TrackedSubmission;
 import org.damasktiller.lab.rig.Deployment;
 import org.damasktiller.lab.rig.EntryProcess;
 import org.damasktiller.lab.rig.LabLoop;
 import org.damasktiller.lab.rig.Rig;
 import org.damasktiller.lab.rig.RigSettings;
-import org.damasktiller.lab.table.TableManifest;
+import org.damasktiller.lab.table.TableManifestFactory;
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
@@ -71,16 +71,17 @@
     private final LabLoop loop;
 
     /** What the workers ran. */
-    private final RunInvariantChecker audit = new RunInvariantChecker(TableManifest.ATTEMPTS);
+    private final RunInvariantChecker audit =
+            new RunInvariantChecker(TableManifestFactory.MAXIMUM_ATTEMPTS);
 
     /** What callers have submitted. */
-    private final SubmittedWork work;
+    private final SubmittedTaskBehaviour work;
 
     /** The deployment while it runs. */
     private final Rig rig;
 
     /** The callers. */
-    private final CallerLoad load;
+    private final CallerSimulator load;
 
     /**
      * Creates a run.
@@ -102,7 +103,7 @@
         this.loadMillis = seconds * MILLIS_PER_SECOND;
         this.output = output;
         RandomGenerator random = new Well19937c(1);
-        work = new SubmittedWork(random, 0);
+        work = new SubmittedTaskBehaviour(random, 0);
         loop = new LabLoop("local", output::println);
         RigSettings settings =
                 RigSettings.builder(temporaryDirectory())
@@ -113,7 +114,7 @@
                         .build();
         rig = loop.await(made -> made.complete(new Rig(loop, settings, work, audit, random)));
         load =
-                new CallerLoad(
+                new CallerSimulator(
                         loop.runtime(),
                         new CallerClient(loop.eventloop(), CALL_MILLIS),
                         rig.entryVms().stream().map(EntryProcess::callers).toList(),
@@ -145,7 +146,7 @@
      * @param finished takes whether all work finished
      */
     private void begin(CompletableFuture<Boolean> finished) {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 1);
+        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 1);
         rig.manifest(manifest, manifest.routes());
         rig.start();
         List<KindOfWork> rows = table.rows();
@@ -164,7 +165,7 @@
 
     /** Puts a newer manifest in force and drains the last entry VM. */
     private void change() {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 2);
+        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 2);
         rig.manifest(manifest, manifest.routes());
         EntryProcess last = rig.entryVms().get(rig.entryVms().size() - 1);
         output.println("manifest version 2 is in the store; draining " + last.name());
@@ -178,10 +179,10 @@
      * @param beganMillis when the load began, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
-        long open = load.items().stream().filter(item -> !item.settled()).count();
-        output.println("sent " + load.items().size() + ", open " + open);
+        long open = load.submissions().stream().filter(item -> !item.isSettled()).count();
+        output.println("sent " + load.submissions().size() + ", open " + open);
         long passed = loop.runtime().nowMillis() - beganMillis;
-        boolean sent = load.items().size() == table.rows().size() * PER_ROW;
+        boolean sent = load.submissions().size() == table.rows().size() * PER_ROW;
         if ((sent && open == 0) || passed > loadMillis + FINISH_MILLIS) {
             finished.complete(sent && open == 0);
             return;
@@ -199,18 +200,20 @@
         output.printf("%-20s %8s %9s %8s%n", "kind", "accepted", "succeeded", "refused");
         for (KindOfWork row : table.rows()) {
             String kind = row.name().value();
-            List<WorkItem> items =
-                    load.items().stream().filter(item -> item.route().name().equals(kind)).toList();
+            List<TrackedSubmission> items =
+                    load.submissions().stream()
+                            .filter(item -> item.route().name().equals(kind))
+                            .toList();
             output.printf(
                     "%-20s %8d %9d %8d%n",
                     kind,
-                    items.stream().filter(WorkItem::accepted).count(),
+                    items.stream().filter(TrackedSubmission::isAccepted).count(),
                     items.stream()
                             .filter(item -> item.state() == SubmissionState.SUCCEEDED)
                             .count(),
-                    items.stream().filter(WorkItem::refused).count());
+                    items.stream().filter(TrackedSubmission::isRefused).count());
         }
-        PromiseCheck check = new PromiseCheck(load, audit, work);
+        GuaranteeChecker check = new GuaranteeChecker(load, audit, work);
         List<String> found =
                 loop.await(
                         result -> {
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/documentation/OperatorsPageTest.java
@@ -23,14 +23,15 @@
 import org.damasktiller.table.TableWriter;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the flags, error codes and columns on the operators' page match the code. */
 class OperatorsPageTest {
 
-    private final String page = read();
+    private final String page = readPage();
 
     @Test
     void testFlagsMatchTheCode() {
         Set<String> expected = new TreeSet<>();
-        for (Command command : Main.commands()) {
+        for (Command command : Main.createCommands()) {
             JCommander parser = JCommander.newBuilder().addObject(command).build();
             parser.parseWithoutValidation();
             for (ParameterDescription parameter : parser.getParameters()) {
@@ -100,7 +101,7 @@
                 : page.substring(start.end());
     }
 
-    private static String read() {
+    private static String readPage() {
         try {
             return Files.readString(Path.of("..", "docs", "OPERATORS.md"));
         } catch (IOException exception) {
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableManifestFactoryTest.java
@@ -12,8 +12,8 @@
 import org.damasktiller.table.TableReader;
 import org.junit.jupiter.api.Test;
 
-/** Tests how the rows of a table become the routes of a manifest. */
-class TableManifestTest {
+/** Tests the conversion of the rows of a table to the routes of a manifest. */
+class TableManifestFactoryTest {
 
     private static final String CSV =
             """
@@ -27,7 +27,7 @@
 
     @Test
     void rowsBecomeRoutes() {
-        Manifest manifest = TableManifest.of(table, "workers", 3);
+        Manifest manifest = TableManifestFactory.create(table, "workers", 3);
         assertThat(manifest.version(), is(3L));
         assertThat(manifest.findRoute("accounts.example", "/billing/1").name(), is("billing"));
         assertThat(manifest.findRouteByName("billing").maximumAttempts(), is(1));
@@ -38,8 +38,8 @@
     }
 
     @Test
-    void entryVmsReadTheManifestThatIsPrinted() {
-        Manifest manifest = TableManifest.of(table, "workers", 3);
+    void printedManifestIsDecodedUnchanged() {
+        Manifest manifest = TableManifestFactory.create(table, "workers", 3);
         byte[] text = PlatformRecordEncoder.encodeManifest(manifest);
         assertThat(new JsonPlatformRecordDecoder().decodeManifest(text), is(manifest));
     }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests the table that operators share in the platform's store, over its protocol. */
+/** Tests concurrent edits of the table against an emulated store, over the store's protocol. */
 class TableSessionTest {
 
     private static final String FIRST =
@@ -42,7 +42,7 @@
 
     private final TableSession session =
             new TableSession(
-                    platform.await(made -> made.complete(serve())),
+                    platform.await(result -> result.complete(startStore())),
                     Deployment.CORRIB.zones().keySet());
 
     @AfterEach
@@ -85,7 +85,7 @@
                 tables -> tables.put(new EditId(id), "operator", base, csv.getBytes(UTF_8)));
     }
 
-    private InetSocketAddress serve() {
+    private InetSocketAddress startStore() {
         InMemoryStore model = new InMemoryStore(platform.runtime());
         StoreServlet servlet = new StoreServlet(model, platform.runtime(), FaultPlan.NO_FAULTS, 0);
         return Addresses.parse(
