--- a/damasktiller-library/src/test/java/org/damasktiller/table/TestTables.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TestTables.java
@@ -5,7 +5,7 @@
 import org.damasktiller.identity.KindName;
 import org.damasktiller.identity.TenantName;
 
-/** Makes small tables; a row is written as kind, weight and limit of running tasks. */
+/** Creates small tables from rows such as {@code billing 3 60}: kind, weight and running limit. */
 public final class TestTables {
 
     private TestTables() {}
--- a/specification/owner.pml
+++ b/specification/owner.pml
@@ -1,37 +1,56 @@
 /*
- * One task under owners that follow each other: generations, the fence at the workers, leases
- * that end with the owner's proof, ends written before they are acknowledged, starts whose answer
- * is lost, and a worker that begins a new life. An atomic step of any part may follow a step of
- * any other, so that a pause of an owner is any number of steps of the others. Times are counted
- * down, so that no bound on the clock is needed.
+ * Models how successive owners schedule one task on two workers, and checks that the task never
+ * runs on two workers at once and never starts again after its end was acknowledged. The model
+ * covers owner generations, fencing tokens at the workers, worker leases that expire no later
+ * than the validity of the owner's last ownership check, ends that are stored before they are
+ * acknowledged, start requests whose response is lost, and a worker that restarts.
  *
- * A symbol that begins with NO_ takes one rule out; one that begins with REACH_ claims that a
- * wanted run is impossible.
+ * The processes interleave arbitrarily in atomic steps, so that an owner may pause for any number
+ * of steps of the others. Times are countdowns, so that the clock needs no bound.
+ *
+ * A symbol with the prefix NO_ disables one rule, which must lead to a violation. A symbol with
+ * the prefix REACH_ asserts that a desired execution is impossible, which must be refuted.
  */
 #define OWNERS 2
 #define WORKERS 2
+/* How long an ownership check stays valid, in steps of the clock. */
 #define AUTHORITY 1
 
-/* The store: the generation of the present owner, and whether the end of the task is written. */
+/* The store: the generation of the current owner, and whether the end of the task is stored. */
 byte storeGeneration;
 bool storeDone;
 
-/* The workers. */
+/*
+ * The workers: the highest fencing token accepted, the active run (0 for none), the remaining
+ * lease, the highest run number that ended or was stopped, whether the end of the task is listed,
+ * and whether the lease expired after that end. A run is numbered by the generation of the owner that started it.
+ */
 byte token[WORKERS];
 byte activeRun[WORKERS];
 byte leaseLeft[WORKERS];
 byte refusedRun[WORKERS];
 bool doneListed[WORKERS];
 bool doneStale[WORKERS];
+/* Whether worker 0 has restarted, and whether an end of the task has been acknowledged. */
 bool restarted;
 bool doneNoted;
 
-/* A start on its way, zero if there is none; others arrive at once. */
+/*
+ * The delayed start request, of which there is at most one; others are delivered at once. A run
+ * number of 0 means that there is none. The lease counts down while the request is in transit.
+ */
 byte callRun;
 byte callWorker;
 byte callLeft;
 
-/* The owners: zero is no generation. */
+/*
+ * The owners: the generation (0 while the process is not the owner), the remaining validity of
+ * the last ownership check, and for each worker whether it has answered with this owner's fencing
+ * token, whether it listed a run, whether a start may be unanswered, whether a stop was sent,
+ * whether its clock was read since its last restart, whether an ownership check succeeded after
+ * that reading, and how long a former owner may still start a run there. The last two are whether
+ * the owner has seen the end of the task and whether it knows that the end is stored.
+ */
 byte generation[OWNERS];
 byte authorityLeft[OWNERS];
 bool fenced[OWNERS * WORKERS];
@@ -44,10 +63,12 @@
 bool seenEnd[OWNERS];
 bool written[OWNERS];
 
+/* The index of an owner and a worker in the arrays of all pairs. */
 #define AT(o, w) ((o) * WORKERS + (w))
+/* The other of the two workers. */
 #define OTHER(w) (1 - (w))
 
-/* A run begins at a worker: no other may be active, and none after a noted end. */
+/* Begins a run. No other run may be active, and no end of the task may be acknowledged. */
 inline begin(w, number, left) {
   assert(activeRun[OTHER(w)] == 0);
   assert(!doneNoted);
@@ -58,7 +79,10 @@
 #endif
 }
 
-/* What an owner believes at the beginning of its term. */
+/*
+ * Resets the state of a process that becomes the owner. A former owner may start runs until the
+ * validity of its last ownership check ends; the first generation has no former owner.
+ */
 inline beginTerm(o) {
   generation[o] = storeGeneration;
   authorityLeft[o] = AUTHORITY;
@@ -85,18 +109,22 @@
 #endif
 }
 
-/* Whether no run of the task can be active or begin at a worker, as far as an owner can prove. */
+/* Whether an owner knows that no run of the task is active or can begin at a worker. */
 #define CLEAR(o, w) \
   (!seenRun[AT(o, w)] && !openStart[AT(o, w)] && \
    (fenced[AT(o, w)] || oldLeaseLeft[AT(o, w)] == 0))
 
+/* Whether a worker accepts a request with the given fencing token. */
 #ifdef NO_FENCE
 #define PASSES(w, g) true
 #else
 #define PASSES(w, g) ((g) >= token[w])
 #endif
 
-/* The lease that a call gives: it ends with the proof, or else it counts from the call. */
+/*
+ * The lease that a request grants, and whether the owner may grant one. It ends with the validity
+ * of the ownership check; without the rule, it begins anew with each request.
+ */
 #ifdef NO_STAMP
 #define GIVEN(o) AUTHORITY
 #define MAY_GIVE(o) true
@@ -105,12 +133,12 @@
 #define MAY_GIVE(o) (authorityLeft[o] > 0)
 #endif
 
-/* Raises the fence of a worker. */
+/* Raises the fencing token of a worker to that of a request. */
 #define RAISE(w, g) if :: (g) > token[w] -> token[w] = g :: else fi
 
 /*
- * Looks at a worker: the fence rises, runs and ends are listed, and the lease of the run may be
- * lengthened.
+ * Polls a worker: raises its fencing token, lists its run and end, and optionally extends the
+ * lease of the run. An owner that is rejected because of its token ceases to be the owner.
  */
 inline look(o, w, lengthen) {
   if
@@ -142,7 +170,7 @@
   fi
 }
 
-/* A start arrives at its worker. */
+/* Delivers a start request. The worker refuses it without a lease or if it stopped that run. */
 inline arrive(w, number, left) {
   if
   :: PASSES(w, number) && left > 0 && activeRun[w] == 0 && number > refusedRun[w] ->
@@ -152,7 +180,7 @@
   fi
 }
 
-/* An owner orders a start, whose answer may be lost. */
+/* Records that a start request is sent; its response may be lost. */
 inline order(o, w) {
   openStart[AT(o, w)] = true;
   stopped[AT(o, w)] = false
@@ -163,13 +191,13 @@
   (generation[o] != 0 && MAY_GIVE(o) && CLEAR(o, 0) && CLEAR(o, 1) && \
    clockProven[AT(o, w)] && !seenEnd[o] && !written[o])
 
-/* A start that is carried out at once. */
+/* Sends a start request that is delivered at once. */
 inline startNow(o, w) {
   order(o, w);
   arrive(w, generation[o], GIVEN(o))
 }
 
-/* A start that may be carried out later, or never. */
+/* Sends a start request that is delivered later or is lost. */
 inline startLate(o, w) {
   order(o, w);
   callRun = generation[o];
@@ -178,8 +206,8 @@
 }
 
 /*
- * Stops the run that it may have started; the worker refuses it from then on. Whether it had ended
- * before shows only in a look after that.
+ * Stops the run that the owner may have started; the worker refuses that run from then on. Only a
+ * later poll shows whether the run had ended before the stop.
  */
 inline stop(o, w) {
   if
@@ -198,9 +226,10 @@
   fi
 }
 
-/* Whether no former owner can begin a run at a worker any more. */
+/* Whether no former owner can still begin a run at a worker. */
 #define SETTLED(o, w) (fenced[AT(o, w)] || oldLeaseLeft[AT(o, w)] == 0)
 
+/* Whether an owner may acknowledge the end of the task. */
 #ifdef NO_WRITE_FIRST
 #define MAY_ACKNOWLEDGE(o) (seenEnd[o] && SETTLED(o, 0) && SETTLED(o, 1))
 #else
@@ -212,8 +241,8 @@
 #endif
 
 /*
- * Acknowledges the end, which must not have been followed by another run, unless the worker's
- * lease lapsed after it.
+ * Acknowledges the end of the task at a worker. No run may be active after it, unless the lease of
+ * the worker expired after the end, since such an end no longer counts.
  */
 inline acknowledge(o, w) {
   doneListed[w] = false;
@@ -231,10 +260,10 @@
 
 proctype Owner(byte o) {
   do
-  /* Wins the next generation; the owners come in the order of their numbers. */
+  /* Wins the election of the next generation; the owners win in the order of their numbers. */
   :: d_step { generation[o] == 0 && storeGeneration == o ->
        storeGeneration++; beginTerm(o) }
-  /* Proves that it is still the owner, or learns that it is not. */
+  /* Checks ownership in the store: extends its validity or ceases to be the owner. */
   :: d_step { generation[o] != 0 && generation[o] == storeGeneration ->
        authorityLeft[o] = AUTHORITY;
        clockProven[AT(o, 0)] = clockRead[AT(o, 0)];
@@ -250,7 +279,7 @@
   :: d_step { callRun == 0 && MAY_START(o, 1) -> startLate(o, 1) }
   :: d_step { generation[o] != 0 -> stop(o, 0) }
   :: d_step { generation[o] != 0 -> stop(o, 1) }
-  /* Writes the end, on condition that no other owner has begun. */
+  /* Stores the end on condition that the generation in the store is unchanged. */
   :: d_step { generation[o] != 0 && seenEnd[o] && !written[o] ->
        if
        :: generation[o] == storeGeneration -> storeDone = true; written[o] = true
@@ -263,13 +292,14 @@
   od
 }
 
-/* Takes the start off the way. */
+/* Removes the delayed start request. */
 inline clear() {
   callRun = 0;
   callWorker = 0;
   callLeft = 0
 }
 
+/* Delivers or loses the delayed start request. */
 proctype Call() {
   do
   :: d_step { callRun != 0 -> arrive(callWorker, callRun, callLeft); clear() }
@@ -279,15 +309,16 @@
 
 proctype Worker(byte w) {
   do
-  /* The task is done; the end is listed until it is acknowledged. */
+  /* Completes the task; the worker lists the end until it is acknowledged. */
   :: d_step { activeRun[w] != 0 ->
        refusedRun[w] = activeRun[w];
        activeRun[w] = 0;
        doneListed[w] = true;
        doneStale[w] = false }
   /*
-   * One worker begins a new life once (they are alike); calls to the former one are lost with it. That takes longer than
-   * an owner relies on an answer, so that none starts anything there on what it knew before.
+   * Worker 0 restarts at most once; the workers are symmetric. Requests to the former process are
+   * lost. A restart takes longer than an owner relies on an answer, so that no owner starts a run
+   * there on the basis of an answer from before the restart.
    */
   :: d_step { w == 0 && !restarted ->
        restarted = true;
@@ -307,15 +338,15 @@
   od
 }
 
-/* Counts down. */
+/* Decrements a countdown that has not reached 0. */
 #define DOWN(x) x = (x > 0 -> x - 1 : 0)
 
-/* Counts a lease down; what runs ends with it, and an end listed before it no longer counts. */
+/* Decrements a lease. At 0 the run is stopped, and an end listed before no longer counts. */
 #define LAPSE(w) \
   DOWN(leaseLeft[w]); \
   if :: leaseLeft[w] == 0 -> activeRun[w] = 0; doneStale[w] = doneListed[w] :: else fi
 
-/* Time passes: everything that is counted down goes one step. */
+/* Advances the time: decrements all countdowns by one step. */
 proctype Clock() {
   do
   :: d_step {
