--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/command/CommandLine.java
@@ -67,7 +67,7 @@
                             + ": "
                             + failure.code()
                             + " at "
-                            + failure.step()
+                            + failure.operation()
                             + (failure.peer().isEmpty() ? "" : " with " + failure.peer())
                             + ", "
                             + failure.outcome()
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -232,9 +232,9 @@
     private Submission submission(KindOfWork row) {
         Resources need =
                 new Resources(
-                        row.declared().milliProcessors(),
-                        row.declared().memoryMegabytes(),
-                        row.declared().accelerators());
+                        row.declaredResources().milliProcessors(),
+                        row.declaredResources().memoryMegabytes(),
+                        row.declaredResources().accelerators());
         StepSpec step =
                 StepSpec.builder(1, need)
                         .estimateMillis(
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/settings/Settings.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.jspecify.annotations.Nullable;
 
 /** Reads settings from flags and environment variables; a flag goes before a variable. */
@@ -50,7 +50,7 @@
         } catch (ParameterException exception) {
             throw new DamasktillerException(
                     ErrorCode.BAD_SETTING,
-                    Step.SETTINGS,
+                    Operation.SETTINGS,
                     "",
                     Outcome.NOT_RUN,
                     String.valueOf(exception.getMessage()),
@@ -71,7 +71,7 @@
             String setting, String value, String allowed, @Nullable Throwable cause) {
         return new DamasktillerException(
                 ErrorCode.BAD_SETTING,
-                Step.SETTINGS,
+                Operation.SETTINGS,
                 "",
                 Outcome.NOT_RUN,
                 "setting " + setting + ": value '" + value + "', allowed: " + allowed,
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.StoreItem;
@@ -48,7 +48,7 @@
                     } else if (result.status() == StoreStatus.OK) {
                         found.set(Optional.ofNullable(value(result.require().item())));
                     } else {
-                        found.setException(unavailable(Step.READ, result, Outcome.NOT_RUN));
+                        found.setException(unavailable(Operation.READ, result, Outcome.NOT_RUN));
                     }
                 });
         return found;
@@ -94,7 +94,7 @@
                 after,
                 result -> {
                     if (result.status() != StoreStatus.OK) {
-                        found.setException(unavailable(Step.READ, result, Outcome.NOT_RUN));
+                        found.setException(unavailable(Operation.READ, result, Outcome.NOT_RUN));
                         return;
                     }
                     StorePage page = result.require();
@@ -125,9 +125,11 @@
                 StoreItem item = current.isEmpty() ? null : current.get(0);
                 swapped.set(new SwapResult(false, 0, value(item)));
             }
-            case REFUSED -> swapped.setException(unavailable(Step.COMMIT, result, Outcome.NOT_RUN));
+            case REFUSED ->
+                    swapped.setException(unavailable(Operation.COMMIT, result, Outcome.NOT_RUN));
             default ->
-                    swapped.setException(unavailable(Step.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
+                    swapped.setException(
+                            unavailable(Operation.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
         }
     }
 
@@ -144,14 +146,14 @@
     /**
      * Makes the error of a call that was not carried out, as far as is known.
      *
-     * @param step the step
+     * @param operation the operation that failed
      * @param result what the store said
      * @param outcome whether the call took effect
      * @return the error
      */
     private static DamasktillerException unavailable(
-            Step step, StoreResult<?> result, Outcome outcome) {
+            Operation operation, StoreResult<?> result, Outcome outcome) {
         return new DamasktillerException(
-                ErrorCode.STORE_UNAVAILABLE, step, "store", outcome, result.reason());
+                ErrorCode.STORE_UNAVAILABLE, operation, "store", outcome, result.reason());
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifest.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifest.java
@@ -7,7 +7,7 @@
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.table.KindOfWork;
 import org.damasktiller.table.OperatorTable;
-import org.damasktiller.table.Repeat;
+import org.damasktiller.table.RepeatPolicy;
 import org.damasktiller.table.WorkClass;
 
 /**
@@ -64,7 +64,7 @@
                 "/" + kind + "/",
                 service,
                 priority(row.workClass()),
-                row.repeat() == Repeat.AT_MOST_ONCE ? 1 : ATTEMPTS,
+                row.repeatPolicy() == RepeatPolicy.AT_MOST_ONCE ? 1 : ATTEMPTS,
                 EXTENSION,
                 target == 0 ? DEFAULT_TARGET_MILLIS : target,
                 false);
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/command/CommandLineTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/command/CommandLineTest.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.junit.jupiter.api.Test;
 
 class CommandLineTest {
@@ -70,7 +70,7 @@
         @Override
         public ExitCode run(PrintStream results) {
             throw new DamasktillerException(
-                    ErrorCode.STORE_UNAVAILABLE, Step.COMMIT, "store", outcome, "down");
+                    ErrorCode.STORE_UNAVAILABLE, Operation.COMMIT, "store", outcome, "down");
         }
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/error/DamasktillerException.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/error/DamasktillerException.java
@@ -13,7 +13,7 @@
     private final ErrorCode code;
 
     /** The operation that failed. */
-    private final Step step;
+    private final Operation operation;
 
     /** The service, address or file involved, or an empty string if there was none. */
     private final String peer;
@@ -25,21 +25,21 @@
      * Creates an exception without a cause.
      *
      * @param code the documented code of the error
-     * @param step the operation that failed
+     * @param operation the operation that failed
      * @param peer the service, address or file involved, or an empty string if there was none
      * @param outcome whether the work of the failed request was run
      * @param message what happened and which input or state is allowed
      */
     public DamasktillerException(
-            ErrorCode code, Step step, String peer, Outcome outcome, String message) {
-        this(code, step, peer, outcome, message, null);
+            ErrorCode code, Operation operation, String peer, Outcome outcome, String message) {
+        this(code, operation, peer, outcome, message, null);
     }
 
     /**
      * Creates an exception with a cause.
      *
      * @param code the documented code of the error
-     * @param step the operation that failed
+     * @param operation the operation that failed
      * @param peer the service, address or file involved, or an empty string if there was none
      * @param outcome whether the work of the failed request was run
      * @param message what happened and which input or state is allowed
@@ -47,14 +47,14 @@
      */
     public DamasktillerException(
             ErrorCode code,
-            Step step,
+            Operation operation,
             String peer,
             Outcome outcome,
             String message,
             @Nullable Throwable cause) {
         super(message, cause);
         this.code = code;
-        this.step = step;
+        this.operation = operation;
         this.peer = peer;
         this.outcome = outcome;
     }
@@ -73,8 +73,8 @@
      *
      * @return the failed operation
      */
-    public Step step() {
-        return step;
+    public Operation operation() {
+        return operation;
     }
 
     /**
--- a/damasktiller-library/src/main/java/org/damasktiller/error/Step.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/error/Operation.java
@@ -1,7 +1,7 @@
 package org.damasktiller.error;
 
 /** Names the operation of the system that failed. */
-public enum Step {
+public enum Operation {
     /** Reading the settings of a process at its start. */
     SETTINGS,
     /** Reading, validating or changing a table. */
--- a/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.identity.KindName;
 
 /** Changes single cells of a table by their text. */
@@ -33,11 +33,11 @@
                                 () ->
                                         new DamasktillerException(
                                                 ErrorCode.UNKNOWN_KIND,
-                                                Step.TABLE,
+                                                Operation.TABLE,
                                                 "",
                                                 Outcome.NOT_RUN,
                                                 "the table has no row " + kind));
-        if (TableColumns.find(column).isEmpty()) {
+        if (TableColumns.findValueColumn(column).isEmpty()) {
             throw TableErrors.badCell(
                     kind.value(), column, text, "a column of " + TableColumns.headers());
         }
@@ -56,7 +56,7 @@
     private static KindOfWork replaceCell(KindOfWork row, String column, String text) {
         List<String> headers = new ArrayList<>(List.of(TableColumns.KIND));
         List<String> cells = new ArrayList<>(List.of(row.name().value()));
-        for (TableColumn<?> each : TableColumns.cells()) {
+        for (TableColumn<?> each : TableColumns.valueColumns()) {
             headers.add(each.header());
             cells.add(each.header().equals(column) ? text : each.text(row));
         }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/ChoiceFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EnumFormat.java
@@ -8,7 +8,7 @@
  *
  * @param <E> the type of the enum
  */
-final class ChoiceFormat<E extends Enum<E>> implements CellFormat<E> {
+final class EnumFormat<E extends Enum<E>> implements CellFormat<E> {
 
     /** The constants that the cell may hold. */
     private final List<E> choices;
@@ -18,7 +18,7 @@
      *
      * @param choices the constants that the cell may hold
      */
-    ChoiceFormat(List<E> choices) {
+    EnumFormat(List<E> choices) {
         this.choices = List.copyOf(choices);
     }
 
--- a/damasktiller-library/src/main/java/org/damasktiller/table/CountFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/IntegerFormat.java
@@ -4,10 +4,10 @@
 import java.util.regex.Pattern;
 
 /** Converts whole numbers within a range, optionally followed by a fixed unit such as {@code %}. */
-final class CountFormat implements CellFormat<Integer> {
+final class IntegerFormat implements CellFormat<Integer> {
 
     /** Matches an optional sign and up to 9 digits, which always fit an int. */
-    private static final String DIGITS = "(-?[0-9]{1,9})";
+    private static final String NUMBER_REGEX = "(-?[0-9]{1,9})";
 
     /** The smallest number allowed. */
     private final int minimum;
@@ -28,11 +28,11 @@
      * @param maximum the largest number allowed
      * @param unit the unit after the number, or an empty string if there is none
      */
-    CountFormat(int minimum, int maximum, String unit) {
+    IntegerFormat(int minimum, int maximum, String unit) {
         this.minimum = minimum;
         this.maximum = maximum;
         this.unit = unit;
-        this.pattern = Pattern.compile(DIGITS + Pattern.quote(unit));
+        this.pattern = Pattern.compile(NUMBER_REGEX + Pattern.quote(unit));
     }
 
     @Override
--- a/damasktiller-library/src/main/java/org/damasktiller/table/KindOfWork.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/KindOfWork.java
@@ -19,15 +19,15 @@
  * @param runningLimit the maximum number of tasks or requests of the kind that run concurrently, or
  *     0 for no limit
  * @param ratePerSecond the maximum number of starts per second, or 0 for no limit
- * @param declared the resources that the operators declare for one task or request
+ * @param declaredResources the resources that the operators declare for one task or request
  * @param runTimeMillis the declared run time of a task, in milliseconds, or 0 if none is declared
  * @param latencyTargetMillis the target for the 99th percentile of the latency, in milliseconds, or
  *     0 for none
  * @param deadlineMillis how long a caller waits at most, in milliseconds, or 0 for no deadline
  * @param exclusive whether an item of work may run in at most one place at a time
- * @param repeat whether and how work may be run again
- * @param places the availability zones in which work may run; empty for any zone
- * @param spill how far from its own availability zone a request may be sent
+ * @param repeatPolicy whether and how work may be run again
+ * @param allowedZones the availability zones in which work may run; empty for any zone
+ * @param spillScope how far from its own availability zone a request may be sent
  * @param tenantRunningLimit the maximum number of tasks or requests of the whole tenant that run
  *     concurrently, or 0 for no limit; each row of a tenant states the same limit
  */
@@ -39,19 +39,19 @@
         int minimumSharePercent,
         int runningLimit,
         int ratePerSecond,
-        Resources declared,
+        Resources declaredResources,
         long runTimeMillis,
         long latencyTargetMillis,
         long deadlineMillis,
         boolean exclusive,
-        Repeat repeat,
-        List<ZoneName> places,
-        Spill spill,
+        RepeatPolicy repeatPolicy,
+        List<ZoneName> allowedZones,
+        SpillScope spillScope,
         int tenantRunningLimit) {
 
     /** Makes an immutable copy of the list of zones. */
     public KindOfWork {
-        places = List.copyOf(places);
+        allowedZones = List.copyOf(allowedZones);
     }
 
     /**
@@ -90,7 +90,7 @@
         private int ratePerSecond;
 
         /** The declared resources of one task or request. */
-        private Resources declared = Resources.NONE;
+        private Resources declaredResources = Resources.NONE;
 
         /** The declared run time, in milliseconds, or 0 if none is declared. */
         private long runTimeMillis;
@@ -105,13 +105,13 @@
         private boolean exclusive;
 
         /** Whether and how work may be run again. */
-        private Repeat repeat = Repeat.IDEMPOTENT;
+        private RepeatPolicy repeatPolicy = RepeatPolicy.IDEMPOTENT;
 
         /** The availability zones in which work may run; empty for any zone. */
-        private List<ZoneName> places = List.of();
+        private List<ZoneName> allowedZones = List.of();
 
         /** How far from its own availability zone a request may be sent. */
-        private Spill spill = Spill.REGION;
+        private SpillScope spillScope = SpillScope.REGION;
 
         /** The limit of concurrently running tasks or requests of the tenant, or 0 for none. */
         private int tenantRunningLimit;
@@ -188,8 +188,8 @@
          * @param value the declared resources
          * @return this builder
          */
-        public Builder declared(Resources value) {
-            declared = value;
+        public Builder declaredResources(Resources value) {
+            declaredResources = value;
             return this;
         }
 
@@ -243,8 +243,8 @@
          * @param value the rule for repeated runs
          * @return this builder
          */
-        public Builder repeat(Repeat value) {
-            repeat = value;
+        public Builder repeatPolicy(RepeatPolicy value) {
+            repeatPolicy = value;
             return this;
         }
 
@@ -254,8 +254,8 @@
          * @param value the zones; empty for any zone
          * @return this builder
          */
-        public Builder places(List<ZoneName> value) {
-            places = value;
+        public Builder allowedZones(List<ZoneName> value) {
+            allowedZones = value;
             return this;
         }
 
@@ -265,8 +265,8 @@
          * @param value the widest scope allowed
          * @return this builder
          */
-        public Builder spill(Spill value) {
-            spill = value;
+        public Builder spillScope(SpillScope value) {
+            spillScope = value;
             return this;
         }
 
@@ -299,7 +299,11 @@
          * @return this builder
          */
         Builder milliProcessors(long value) {
-            declared = new Resources(value, declared.memoryMegabytes(), declared.accelerators());
+            declaredResources =
+                    new Resources(
+                            value,
+                            declaredResources.memoryMegabytes(),
+                            declaredResources.accelerators());
             return this;
         }
 
@@ -310,7 +314,11 @@
          * @return this builder
          */
         Builder memoryMegabytes(long value) {
-            declared = new Resources(declared.milliProcessors(), value, declared.accelerators());
+            declaredResources =
+                    new Resources(
+                            declaredResources.milliProcessors(),
+                            value,
+                            declaredResources.accelerators());
             return this;
         }
 
@@ -321,7 +329,11 @@
          * @return this builder
          */
         Builder accelerators(int value) {
-            declared = new Resources(declared.milliProcessors(), declared.memoryMegabytes(), value);
+            declaredResources =
+                    new Resources(
+                            declaredResources.milliProcessors(),
+                            declaredResources.memoryMegabytes(),
+                            value);
             return this;
         }
 
@@ -339,14 +351,14 @@
                     minimumSharePercent,
                     runningLimit,
                     ratePerSecond,
-                    declared,
+                    declaredResources,
                     runTimeMillis,
                     latencyTargetMillis,
                     deadlineMillis,
                     exclusive,
-                    repeat,
-                    places,
-                    spill,
+                    repeatPolicy,
+                    allowedZones,
+                    spillScope,
                     tenantRunningLimit);
         }
     }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/NameFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/NameFormat.java
@@ -12,7 +12,7 @@
 final class NameFormat<N> implements CellFormat<N> {
 
     /** Matches a valid name; the first character must not begin a spreadsheet formula. */
-    private static final Pattern SHAPE = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
 
     /** Creates a name from its text. */
     private final Function<String, N> constructor;
@@ -28,7 +28,7 @@
 
     @Override
     public N parse(String text) {
-        if (!SHAPE.matcher(text).matches()) {
+        if (!NAME_PATTERN.matcher(text).matches()) {
             throw new IllegalArgumentException(text);
         }
         return constructor.apply(text);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
@@ -159,7 +159,7 @@
     private static long hash(KindOfWork row) {
         Hasher hasher = Hashing.murmur3_128().newHasher();
         hasher.putString(row.name().value(), StandardCharsets.UTF_8);
-        for (TableColumn<?> column : TableColumns.cells()) {
+        for (TableColumn<?> column : TableColumns.valueColumns()) {
             hasher.putString(column.text(row), StandardCharsets.UTF_8).putChar(',');
         }
         return hasher.hash().asLong();
--- a/damasktiller-library/src/main/java/org/damasktiller/table/ProcessorFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/ProcessorFormat.java
@@ -7,16 +7,16 @@
 final class ProcessorFormat implements CellFormat<Long> {
 
     /** The number of thousandths in one processor. */
-    private static final int MILLI_PROCESSORS = 1000;
+    private static final int THOUSANDTHS_PER_PROCESSOR = 1000;
 
     /** The largest amount allowed, in thousandths of a processor. */
-    private static final long MAXIMUM = 1024L * MILLI_PROCESSORS;
+    private static final long MAXIMUM_THOUSANDTHS = 1024L * THOUSANDTHS_PER_PROCESSOR;
 
     /** Matches thousandths of a processor, such as {@code 500m}. */
-    private static final Pattern THOUSANDTHS = Pattern.compile("[0-9]{1,7}m");
+    private static final Pattern THOUSANDTHS_PATTERN = Pattern.compile("[0-9]{1,7}m");
 
     /** Matches processors with up to three decimals, such as {@code 0.5}. */
-    private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,4}(\\.[0-9]{1,3})?");
+    private static final Pattern DECIMAL_PATTERN = Pattern.compile("[0-9]{1,4}(\\.[0-9]{1,3})?");
 
     /** Creates a format. */
     ProcessorFormat() {}
@@ -24,17 +24,17 @@
     @Override
     public Long parse(String text) {
         long value;
-        if (THOUSANDTHS.matcher(text).matches()) {
+        if (THOUSANDTHS_PATTERN.matcher(text).matches()) {
             value = Long.parseLong(text.substring(0, text.length() - 1));
-        } else if (DECIMAL.matcher(text).matches()) {
+        } else if (DECIMAL_PATTERN.matcher(text).matches()) {
             value =
                     new BigDecimal(text)
-                            .multiply(BigDecimal.valueOf(MILLI_PROCESSORS))
+                            .multiply(BigDecimal.valueOf(THOUSANDTHS_PER_PROCESSOR))
                             .longValueExact();
         } else {
             throw new IllegalArgumentException(text);
         }
-        if (value > MAXIMUM) {
+        if (value > MAXIMUM_THOUSANDTHS) {
             throw new IllegalArgumentException(text);
         }
         return value;
@@ -42,13 +42,14 @@
 
     @Override
     public String format(Long value) {
-        return value % MILLI_PROCESSORS == 0
-                ? Long.toString(value / MILLI_PROCESSORS)
+        return value % THOUSANDTHS_PER_PROCESSOR == 0
+                ? Long.toString(value / THOUSANDTHS_PER_PROCESSOR)
                 : value + "m";
     }
 
     @Override
     public String allowed() {
-        return "processors like 0.5 or 500m, at most " + MAXIMUM / MILLI_PROCESSORS;
+        return "processors like 0.5 or 500m, at most "
+                + MAXIMUM_THOUSANDTHS / THOUSANDTHS_PER_PROCESSOR;
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/UnitFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/QuantityFormat.java
@@ -5,31 +5,31 @@
 import java.util.regex.Pattern;
 
 /** Converts whole amounts with a unit, such as {@code 90s} or {@code 2GB}, to the smallest unit. */
-final class UnitFormat implements CellFormat<Long> {
+final class QuantityFormat implements CellFormat<Long> {
 
     /** The milliseconds in a second. */
-    private static final long SECOND = 1000;
+    private static final long MILLIS_PER_SECOND = 1000;
 
     /** The milliseconds in a minute. */
-    private static final long MINUTE = 60 * SECOND;
+    private static final long MILLIS_PER_MINUTE = 60 * MILLIS_PER_SECOND;
 
     /** The milliseconds in an hour. */
-    private static final long HOUR = 60 * MINUTE;
+    private static final long MILLIS_PER_HOUR = 60 * MILLIS_PER_MINUTE;
 
     /** The milliseconds in a day. */
-    private static final long DAY = 24 * HOUR;
+    private static final long MILLIS_PER_DAY = 24 * MILLIS_PER_HOUR;
 
     /** The longest time allowed, in milliseconds. */
-    private static final long LONGEST_TIME = 30 * DAY;
+    private static final long MAXIMUM_TIME_MILLIS = 30 * MILLIS_PER_DAY;
 
     /** The megabytes in a gigabyte. */
-    private static final long GIGABYTE = 1000;
+    private static final long MEGABYTES_PER_GIGABYTE = 1000;
 
     /** The largest memory allowed, in megabytes. */
-    private static final long LARGEST_MEMORY = 4_000 * GIGABYTE;
+    private static final long MAXIMUM_MEMORY_MEGABYTES = 4_000 * MEGABYTES_PER_GIGABYTE;
 
     /** Matches an amount, as group 1, and its unit, as group 2. */
-    private static final Pattern PATTERN = Pattern.compile("([0-9]{1,12}) ?([A-Za-z]+)");
+    private static final Pattern QUANTITY_PATTERN = Pattern.compile("([0-9]{1,12}) ?([A-Za-z]+)");
 
     /** The units, the largest first. */
     private final List<Unit> units;
@@ -43,7 +43,7 @@
      * @param units the units, the largest first
      * @param maximum the largest amount allowed, in the smallest unit
      */
-    private UnitFormat(List<Unit> units, long maximum) {
+    private QuantityFormat(List<Unit> units, long maximum) {
         this.units = List.copyOf(units);
         this.maximum = maximum;
     }
@@ -53,15 +53,15 @@
      *
      * @return the format
      */
-    static UnitFormat time() {
-        return new UnitFormat(
+    static QuantityFormat time() {
+        return new QuantityFormat(
                 List.of(
-                        new Unit("d", DAY),
-                        new Unit("h", HOUR),
-                        new Unit("m", MINUTE),
-                        new Unit("s", SECOND),
+                        new Unit("d", MILLIS_PER_DAY),
+                        new Unit("h", MILLIS_PER_HOUR),
+                        new Unit("m", MILLIS_PER_MINUTE),
+                        new Unit("s", MILLIS_PER_SECOND),
                         new Unit("ms", 1)),
-                LONGEST_TIME);
+                MAXIMUM_TIME_MILLIS);
     }
 
     /**
@@ -69,13 +69,15 @@
      *
      * @return the format
      */
-    static UnitFormat memory() {
-        return new UnitFormat(List.of(new Unit("GB", GIGABYTE), new Unit("MB", 1)), LARGEST_MEMORY);
+    static QuantityFormat memory() {
+        return new QuantityFormat(
+                List.of(new Unit("GB", MEGABYTES_PER_GIGABYTE), new Unit("MB", 1)),
+                MAXIMUM_MEMORY_MEGABYTES);
     }
 
     @Override
     public Long parse(String text) {
-        Matcher matcher = PATTERN.matcher(text);
+        Matcher matcher = QUANTITY_PATTERN.matcher(text);
         if (!matcher.matches()) {
             throw new IllegalArgumentException(text);
         }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/RowChange.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/RowChange.java
@@ -27,7 +27,7 @@
             return kind + ": removed";
         }
         List<String> cells = new ArrayList<>();
-        for (TableColumn<?> column : TableColumns.cells()) {
+        for (TableColumn<?> column : TableColumns.valueColumns()) {
             String old = column.text(before);
             String changed = column.text(after);
             if (!old.equals(changed)) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/Spill.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/SpillScope.java
@@ -1,7 +1,7 @@
 package org.damasktiller.table;
 
 /** Limits how far from its own availability zone a request may be sent. */
-public enum Spill {
+public enum SpillScope {
     /** Requests stay within their availability zone. */
     NONE,
     /** Requests may be sent to other availability zones of the same region. */
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.identity.KindName;
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
@@ -188,7 +188,7 @@
         } catch (IOException | RuntimeException e) {
             throw new DamasktillerException(
                     ErrorCode.PROTOCOL_ERROR,
-                    Step.TABLE,
+                    Operation.TABLE,
                     "",
                     Outcome.NOT_RUN,
                     "a record of the table cannot be decoded",
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableColumn.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableColumn.java
@@ -10,7 +10,7 @@
  */
 final class TableColumn<V> {
 
-    /** The name of the column in the header line. */
+    /** The name of the column in the header row. */
     private final String header;
 
     /** Converts the text of the cells. */
@@ -25,7 +25,7 @@
     /**
      * Creates a column.
      *
-     * @param header the name of the column in the header line
+     * @param header the name of the column in the header row
      * @param format converts the text of the cells
      * @param getter reads the property from a row
      * @param setter sets the property in the builder of a row
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Returns the name of the column in the header line.
+     * Returns the name of the column in the header row.
      *
      * @return the name
      */
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableColumns.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableColumns.java
@@ -19,7 +19,7 @@
     static final String MINIMUM_SHARE = "minimum_share";
 
     /** The name of the column of the allowed availability zones. */
-    static final String PLACE = "place";
+    static final String ALLOWED_ZONES = "place";
 
     /** The name of the column of the running limit of the whole tenant. */
     static final String TENANT_LIMIT = "tenant_limit_running";
@@ -34,16 +34,16 @@
     private static final int MAXIMUM_PERCENT = 100;
 
     /** The largest limit of concurrently running tasks or requests. */
-    private static final int MAXIMUM_RUNNING = 1_000_000;
+    private static final int MAXIMUM_RUNNING_LIMIT = 1_000_000;
 
     /** The largest limit of starts per second. */
-    private static final int MAXIMUM_RATE = 100_000;
+    private static final int MAXIMUM_RATE_PER_SECOND = 100_000;
 
     /** The largest number of accelerators of one task. */
     private static final int MAXIMUM_ACCELERATORS = 64;
 
     /** The columns other than the key, in the order in which they are written. */
-    private static final ImmutableList<TableColumn<?>> CELLS =
+    private static final ImmutableList<TableColumn<?>> VALUE_COLUMNS =
             ImmutableList.of(
                     new TableColumn<>(
                             TENANT,
@@ -52,57 +52,57 @@
                             KindOfWork.Builder::tenant),
                     new TableColumn<>(
                             "class",
-                            new ChoiceFormat<>(List.of(WorkClass.values())),
+                            new EnumFormat<>(List.of(WorkClass.values())),
                             KindOfWork::workClass,
                             KindOfWork.Builder::workClass),
                     new TableColumn<>(
                             "weight",
-                            new CountFormat(1, MAXIMUM_WEIGHT, ""),
+                            new IntegerFormat(1, MAXIMUM_WEIGHT, ""),
                             KindOfWork::weight,
                             KindOfWork.Builder::weight),
                     new TableColumn<>(
                             MINIMUM_SHARE,
-                            new CountFormat(0, MAXIMUM_PERCENT, "%"),
+                            new IntegerFormat(0, MAXIMUM_PERCENT, "%"),
                             KindOfWork::minimumSharePercent,
                             KindOfWork.Builder::minimumSharePercent),
                     new TableColumn<>(
                             "limit_running",
-                            new CountFormat(0, MAXIMUM_RUNNING, ""),
+                            new IntegerFormat(0, MAXIMUM_RUNNING_LIMIT, ""),
                             KindOfWork::runningLimit,
                             KindOfWork.Builder::runningLimit),
                     new TableColumn<>(
                             "limit_rate",
-                            new CountFormat(0, MAXIMUM_RATE, "/s"),
+                            new IntegerFormat(0, MAXIMUM_RATE_PER_SECOND, "/s"),
                             KindOfWork::ratePerSecond,
                             KindOfWork.Builder::ratePerSecond),
                     new TableColumn<>(
                             "processors",
                             new ProcessorFormat(),
-                            row -> row.declared().milliProcessors(),
+                            row -> row.declaredResources().milliProcessors(),
                             KindOfWork.Builder::milliProcessors),
                     new TableColumn<>(
                             "memory",
-                            UnitFormat.memory(),
-                            row -> row.declared().memoryMegabytes(),
+                            QuantityFormat.memory(),
+                            row -> row.declaredResources().memoryMegabytes(),
                             KindOfWork.Builder::memoryMegabytes),
                     new TableColumn<>(
                             "accelerators",
-                            new CountFormat(0, MAXIMUM_ACCELERATORS, ""),
-                            row -> row.declared().accelerators(),
+                            new IntegerFormat(0, MAXIMUM_ACCELERATORS, ""),
+                            row -> row.declaredResources().accelerators(),
                             KindOfWork.Builder::accelerators),
                     new TableColumn<>(
                             "run_time",
-                            UnitFormat.time(),
+                            QuantityFormat.time(),
                             KindOfWork::runTimeMillis,
                             KindOfWork.Builder::runTimeMillis),
                     new TableColumn<>(
                             "latency_target",
-                            UnitFormat.time(),
+                            QuantityFormat.time(),
                             KindOfWork::latencyTargetMillis,
                             KindOfWork.Builder::latencyTargetMillis),
                     new TableColumn<>(
                             "deadline",
-                            UnitFormat.time(),
+                            QuantityFormat.time(),
                             KindOfWork::deadlineMillis,
                             KindOfWork.Builder::deadlineMillis),
                     new TableColumn<>(
@@ -112,22 +112,22 @@
                             KindOfWork.Builder::exclusive),
                     new TableColumn<>(
                             "repeat",
-                            new ChoiceFormat<>(List.of(Repeat.values())),
-                            KindOfWork::repeat,
-                            KindOfWork.Builder::repeat),
+                            new EnumFormat<>(List.of(RepeatPolicy.values())),
+                            KindOfWork::repeatPolicy,
+                            KindOfWork.Builder::repeatPolicy),
                     new TableColumn<>(
-                            PLACE,
-                            new PlaceFormat(),
-                            KindOfWork::places,
-                            KindOfWork.Builder::places),
+                            ALLOWED_ZONES,
+                            new ZoneListFormat(),
+                            KindOfWork::allowedZones,
+                            KindOfWork.Builder::allowedZones),
                     new TableColumn<>(
                             "spill",
-                            new ChoiceFormat<>(List.of(Spill.values())),
-                            KindOfWork::spill,
-                            KindOfWork.Builder::spill),
+                            new EnumFormat<>(List.of(SpillScope.values())),
+                            KindOfWork::spillScope,
+                            KindOfWork.Builder::spillScope),
                     new TableColumn<>(
                             TENANT_LIMIT,
-                            new CountFormat(0, MAXIMUM_RUNNING, ""),
+                            new IntegerFormat(0, MAXIMUM_RUNNING_LIMIT, ""),
                             KindOfWork::tenantRunningLimit,
                             KindOfWork.Builder::tenantRunningLimit));
 
@@ -139,8 +139,8 @@
      *
      * @return the columns in the order in which they are written
      */
-    static ImmutableList<TableColumn<?>> cells() {
-        return CELLS;
+    static ImmutableList<TableColumn<?>> valueColumns() {
+        return VALUE_COLUMNS;
     }
 
     /**
@@ -149,8 +149,8 @@
      * @param header the name of the column
      * @return the column, or empty if there is none
      */
-    static Optional<TableColumn<?>> find(String header) {
-        return CELLS.stream().filter(column -> column.header().equals(header)).findFirst();
+    static Optional<TableColumn<?>> findValueColumn(String header) {
+        return VALUE_COLUMNS.stream().filter(column -> column.header().equals(header)).findFirst();
     }
 
     /**
@@ -161,7 +161,7 @@
     static List<String> headers() {
         ImmutableList.Builder<String> headers = ImmutableList.builder();
         headers.add(KIND);
-        CELLS.forEach(column -> headers.add(column.header()));
+        VALUE_COLUMNS.forEach(column -> headers.add(column.header()));
         return headers.build();
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableEditor.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableEditor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.store.SwapResult;
 
 /**
@@ -22,7 +22,7 @@
     private final TableEdit edit;
 
     /** The rules for whole tables. */
-    private final TableRules rules;
+    private final TableValidator validator;
 
     /** The highest version known to be in force; the store must not be behind it. */
     private final long floorVersion;
@@ -43,12 +43,12 @@
      * Creates an editor.
      *
      * @param edit the edit
-     * @param rules the rules for whole tables
+     * @param validator the rules for whole tables
      * @param floorVersion the highest version known to be in force
      */
-    TableEditor(TableEdit edit, TableRules rules, long floorVersion) {
+    TableEditor(TableEdit edit, TableValidator validator, long floorVersion) {
         this.edit = edit;
-        this.rules = rules;
+        this.validator = validator;
         this.floorVersion = floorVersion;
     }
 
@@ -104,7 +104,7 @@
     DamasktillerException unavailable(String reason) {
         return new DamasktillerException(
                 ErrorCode.STORE_UNAVAILABLE,
-                Step.COMMIT,
+                Operation.COMMIT,
                 "store",
                 ambiguous ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN,
                 reason
@@ -127,7 +127,7 @@
             return new EditAction.Done(new EditResult(loaded.table().version(), List.of()));
         }
         long version = loaded.table().version() + 1;
-        rules.check(loaded.table().with(version, changes).rows());
+        validator.validate(loaded.table().with(version, changes).rows());
         TableDelta delta =
                 new TableDelta(version, edit.id(), edit.operator(), nowMillis, true, changes);
         pending = new EditResult(version, changes);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableErrors.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableErrors.java
@@ -2,8 +2,8 @@
 
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 
 /** Creates the exceptions that reject a table. */
 final class TableErrors {
@@ -14,16 +14,18 @@
     /**
      * Creates a BAD_TABLE error for an invalid cell.
      *
-     * @param row the line number and, if known, the kind of the row, such as {@code 3 (billing)}
+     * @param rowLabel the row number and, if known, the kind of the row, such as {@code 3
+     *     (billing)}
      * @param column the name of the column
      * @param value the text of the cell
      * @param allowed the description of the allowed values
      * @return the exception to throw
      */
-    static DamasktillerException badCell(String row, String column, String value, String allowed) {
+    static DamasktillerException badCell(
+            String rowLabel, String column, String value, String allowed) {
         return badTable(
                 "row "
-                        + row
+                        + rowLabel
                         + ", column "
                         + column
                         + ", value '"
@@ -50,6 +52,6 @@
      * @return the exception to throw
      */
     static DamasktillerException error(ErrorCode code, String message) {
-        return new DamasktillerException(code, Step.TABLE, "", Outcome.NOT_RUN, message);
+        return new DamasktillerException(code, Operation.TABLE, "", Outcome.NOT_RUN, message);
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.store.KeyValueStore;
 import org.damasktiller.store.StoredValue;
 
@@ -101,7 +101,7 @@
         }
         throw new DamasktillerException(
                 ErrorCode.BAD_REQUEST,
-                Step.TABLE,
+                Operation.TABLE,
                 "",
                 Outcome.NOT_RUN,
                 "table version "
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.store.KeyValueStore;
 import org.damasktiller.store.StoredValue;
 import org.jspecify.annotations.Nullable;
@@ -111,7 +111,7 @@
         return Promise.ofException(
                 new DamasktillerException(
                         ErrorCode.STORE_UNAVAILABLE,
-                        Step.READ,
+                        Operation.READ,
                         "store",
                         Outcome.NOT_RUN,
                         "the records of table version " + head.version() + " do not fit together"));
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
@@ -133,7 +133,7 @@
      */
     private KindOfWork mergeCells(@Nullable KindOfWork old, KindOfWork wanted, KindOfWork current) {
         KindOfWork.Builder builder = KindOfWork.builder(current.name(), current.tenant());
-        for (TableColumn<?> column : TableColumns.cells()) {
+        for (TableColumn<?> column : TableColumns.valueColumns()) {
             String before = old == null ? null : column.text(old);
             String mineText = column.text(wanted);
             String theirText = column.text(current);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableReader.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableReader.java
@@ -30,14 +30,14 @@
     private static final String BYTE_ORDER_MARK = "\uFEFF";
 
     /** Parses CSV into lines of cells. */
-    private static final ObjectReader CELLS =
+    private static final ObjectReader CSV_READER =
             new CsvMapper()
                     .readerFor(String[].class)
                     .with(CsvParser.Feature.WRAP_AS_ARRAY)
                     .with(CsvParser.Feature.TRIM_SPACES);
 
     /** Validates whole tables. */
-    private final TableRules rules;
+    private final TableValidator validator;
 
     /**
      * Creates a reader.
@@ -45,14 +45,14 @@
      * @param zones the availability zones that exist, or an empty set to accept any name
      */
     public TableReader(Set<ZoneName> zones) {
-        rules = new TableRules(zones);
+        validator = new TableValidator(zones);
     }
 
     /**
      * Reads and validates a whole table. Columns may be in any order, and all columns except kind
      * and tenant are optional. An empty cell gives the column its default.
      *
-     * @param csv the table as CSV in UTF-8, with the column names in the header line
+     * @param csv the table as CSV in UTF-8, with the column names in the header row
      * @param version the version of the returned table, not negative
      * @return the table
      * @throws org.damasktiller.error.DamasktillerException with code BODY_TOO_LARGE if the CSV is
@@ -61,7 +61,7 @@
      */
     public OperatorTable read(byte[] csv, long version) {
         List<KindOfWork> rows = readRows(csv);
-        rules.check(rows);
+        validator.validate(rows);
         return OperatorTable.of(version, rows);
     }
 
@@ -70,14 +70,14 @@
      *
      * @return the validator
      */
-    TableRules rules() {
-        return rules;
+    TableValidator validator() {
+        return validator;
     }
 
     /**
      * Reads rows without validating the table as a whole.
      *
-     * @param csv the rows as CSV in UTF-8, with the column names in the header line
+     * @param csv the rows as CSV in UTF-8, with the column names in the header row
      * @return the rows, in the order of the file
      */
     static List<KindOfWork> readRows(byte[] csv) {
@@ -86,19 +86,20 @@
                     ErrorCode.BODY_TOO_LARGE,
                     "table of " + csv.length + " bytes, allowed is at most " + MAXIMUM_BYTES);
         }
-        List<List<String>> lines = split(decode(csv));
+        List<List<String>> lines = parseCsv(decode(csv));
         if (lines.isEmpty()) {
-            throw TableErrors.badTable("row 1 is missing, allowed is a line with the column names");
+            throw TableErrors.badTable(
+                    "row 1 is missing, allowed is a header row with the column names");
         }
         RowReader reader = new RowReader(lines.get(0));
         List<KindOfWork> rows = new ArrayList<>();
-        Map<KindName, Integer> seen = new HashMap<>();
+        Map<KindName, Integer> rowNumbers = new HashMap<>();
         for (int index = 1; index < lines.size(); index++) {
             if (lines.get(index).stream().allMatch(String::isEmpty)) {
                 continue;
             }
             KindOfWork row = reader.read(index + 1, lines.get(index));
-            checkFirst(index + 1, row.name(), seen);
+            requireUniqueKind(index + 1, row.name(), rowNumbers);
             rows.add(row);
         }
         return rows;
@@ -107,18 +108,19 @@
     /**
      * Rejects a kind that an earlier row defines.
      *
-     * @param number the line number of the row
+     * @param rowNumber the number of the row; the header row is 1
      * @param name the kind of the row
-     * @param seen the line numbers of the kinds read so far; the kind is added
+     * @param rowNumbers the row numbers of the kinds read so far; the kind is added
      */
-    private static void checkFirst(int number, KindName name, Map<KindName, Integer> seen) {
-        Integer before = seen.putIfAbsent(name, number);
-        if (before != null) {
+    private static void requireUniqueKind(
+            int rowNumber, KindName name, Map<KindName, Integer> rowNumbers) {
+        Integer firstRowNumber = rowNumbers.putIfAbsent(name, rowNumber);
+        if (firstRowNumber != null) {
             throw TableErrors.badCell(
-                    Integer.toString(number),
+                    Integer.toString(rowNumber),
                     TableColumns.KIND,
                     name.value(),
-                    "each kind once; it is already defined in row " + before);
+                    "each kind once; it is already defined in row " + firstRowNumber);
         }
     }
 
@@ -145,9 +147,9 @@
      * @param text the CSV
      * @return the cells of each line
      */
-    private static List<List<String>> split(String text) {
+    private static List<List<String>> parseCsv(String text) {
         List<List<String>> lines = new ArrayList<>();
-        try (MappingIterator<String[]> iterator = CELLS.readValues(text)) {
+        try (MappingIterator<String[]> iterator = CSV_READER.readValues(text)) {
             while (iterator.hasNextValue()) {
                 lines.add(Stream.of(iterator.nextValue()).map(String::trim).toList());
             }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
@@ -110,7 +110,7 @@
      *     in force
      */
     public Promise<EditResult> edit(TableEdit edit) {
-        TableEditor editor = new TableEditor(edit, reader.rules(), floorVersion.getAsLong());
+        TableEditor editor = new TableEditor(edit, reader.validator(), floorVersion.getAsLong());
         return new EditRun(loader, history, writer, clock, edit, editor).run();
     }
 
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableWriter.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableWriter.java
@@ -14,11 +14,11 @@
 public final class TableWriter {
 
     /** A row with the default value in each optional column. */
-    private static final KindOfWork DEFAULTS =
+    private static final KindOfWork DEFAULT_ROW =
             KindOfWork.builder(new KindName("-"), new TenantName("-")).build();
 
     /** Formats lines of cells as CSV. */
-    private static final ObjectWriter CELLS =
+    private static final ObjectWriter CSV_WRITER =
             new CsvMapper().writer(CsvSchema.emptySchema().withLineSeparator("\n"));
 
     /** Prevents instantiation. */
@@ -31,7 +31,7 @@
      * @return the CSV in UTF-8
      */
     public static byte[] write(OperatorTable table) {
-        return write(table.rows(), TableColumns.cells());
+        return write(table.rows(), TableColumns.valueColumns());
     }
 
     /**
@@ -42,9 +42,9 @@
      */
     static byte[] writeCompact(List<KindOfWork> rows) {
         List<TableColumn<?>> columns = new ArrayList<>();
-        for (TableColumn<?> column : TableColumns.cells()) {
-            String standard = column.text(DEFAULTS);
-            boolean needed = rows.stream().anyMatch(row -> !column.text(row).equals(standard));
+        for (TableColumn<?> column : TableColumns.valueColumns()) {
+            String defaultText = column.text(DEFAULT_ROW);
+            boolean needed = rows.stream().anyMatch(row -> !column.text(row).equals(defaultText));
             if (needed || column.header().equals(TableColumns.TENANT)) {
                 columns.add(column);
             }
@@ -70,7 +70,7 @@
             lines.add(cells);
         }
         try {
-            return CELLS.writeValueAsString(lines).getBytes(StandardCharsets.UTF_8);
+            return CSV_WRITER.writeValueAsString(lines).getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("strings can always be written as CSV", e);
         }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/PlaceFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/ZoneListFormat.java
@@ -10,7 +10,7 @@
  * Converts lists of availability zones, which are joined by {@code |}; {@code any} allows every
  * zone.
  */
-final class PlaceFormat implements CellFormat<List<ZoneName>> {
+final class ZoneListFormat implements CellFormat<List<ZoneName>> {
 
     /** The text of an empty list, which allows every availability zone. */
     private static final String ANY = "any";
@@ -22,7 +22,7 @@
     private final NameFormat<ZoneName> zoneFormat = new NameFormat<>(ZoneName::new);
 
     /** Creates a format. */
-    PlaceFormat() {}
+    ZoneListFormat() {}
 
     @Override
     public List<ZoneName> parse(String text) {
@@ -30,7 +30,11 @@
             return List.of();
         }
         List<ZoneName> zones =
-                Splitter.on(SEPARATOR).trimResults().splitToStream(text).map(this::zone).toList();
+                Splitter.on(SEPARATOR)
+                        .trimResults()
+                        .splitToStream(text)
+                        .map(this::parseZone)
+                        .toList();
         if (new HashSet<>(zones).size() != zones.size()) {
             throw new IllegalArgumentException(text);
         }
@@ -53,7 +57,7 @@
      * @param text the name of the zone; {@code any} is not allowed among other zones
      * @return the zone
      */
-    private ZoneName zone(String text) {
+    private ZoneName parseZone(String text) {
         if (text.equals(ANY)) {
             throw new IllegalArgumentException(text);
         }
--- a/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 
 /** Keeps keys in memory and fails as told. */
 public final class FakeStore implements KeyValueStore {
@@ -137,7 +137,7 @@
         return Promise.ofException(
                 new DamasktillerException(
                         ErrorCode.STORE_UNAVAILABLE,
-                        Step.COMMIT,
+                        Operation.COMMIT,
                         "store",
                         Outcome.OUTCOME_UNKNOWN,
                         "no answer"));
--- a/damasktiller-library/src/test/java/org/damasktiller/table/TableReaderTest.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TableReaderTest.java
@@ -37,11 +37,11 @@
         KindOfWork plan = table.row(new KindName("route-plan")).orElseThrow();
         assertThat(table.version(), is(7L));
         assertThat(billing.minimumSharePercent(), is(10));
-        assertThat(billing.declared().memoryMegabytes(), is(1000L));
-        assertThat(billing.places(), contains(FIRST, SECOND));
+        assertThat(billing.declaredResources().memoryMegabytes(), is(1000L));
+        assertThat(billing.allowedZones(), contains(FIRST, SECOND));
         assertThat(plan.runningLimit(), is(0));
         assertThat(plan.runTimeMillis(), is(900_000L));
-        assertThat(plan.places(), empty());
+        assertThat(plan.allowedZones(), empty());
     }
 
     @Test
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -13,8 +13,8 @@
 import java.util.UUID;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.node.caller.CallerServlet;
 import org.damasktiller.node.caller.SubmissionAcceptor;
 import org.damasktiller.node.caller.SubmissionStateHandler;
@@ -201,7 +201,7 @@
         } catch (IOException exception) {
             throw new DamasktillerException(
                     ErrorCode.BAD_SETTING,
-                    Step.SETTINGS,
+                    Operation.SETTINGS,
                     settings.callerAddress().toString(),
                     Outcome.NOT_RUN,
                     "can't listen: " + exception,
