--- a/damasktiller-library/src/main/java/org/damasktiller/error/Operation.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/error/Operation.java
@@ -2,7 +2,7 @@
 
 /** Names the operation of the system that failed. */
 public enum Operation {
-    /** Reading the settings of a process at its start. */
+    /** Reading the settings of a process. */
     SETTINGS,
     /** Reading, validating or changing a table. */
     TABLE,
--- a/damasktiller-library/src/main/java/org/damasktiller/table/RowReader.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/RowReader.java
@@ -61,7 +61,7 @@
                             + cells.size()
                             + " cells, allowed is "
                             + columns.size()
-                            + " as in the first line");
+                            + " as in the header row");
         }
         KindName name = readKind(rowNumber, cells);
         KindOfWork.Builder builder = KindOfWork.builder(name, PLACEHOLDER_TENANT);
--- a/specification/owner.pml
+++ b/specification/owner.pml
@@ -8,8 +8,20 @@
  * The processes interleave arbitrarily in atomic steps, so that an owner may pause for any number
  * of steps of the others. Times are countdowns, so that the clock needs no bound.
  *
- * A symbol with the prefix NO_ disables one rule, which must lead to a violation. A symbol with
- * the prefix REACH_ asserts that a desired execution is impossible, which must be refuted.
+ * A symbol with the prefix NO_ disables one rule, which must lead to a violation:
+ *   NO_FENCE                workers reject requests with an old fencing token
+ *   NO_LEASE_WAIT           a new owner waits until the leases of its predecessors end, unless the
+ *                           worker has answered with its token
+ *   NO_STAMP                a lease ends with the validity of the ownership check
+ *   NO_STOP_PROOF           a start stays unresolved until a poll shows its run or follows a stop
+ *   NO_LOOK_AFTER_STOP      after a stop, the owner polls again before it relies on the result
+ *   NO_WRITE_FIRST          an end is stored before it is acknowledged
+ *   NO_SETTLED_FIRST        an end is acknowledged only when no former owner can start a run
+ *   NO_FRESH_ANSWER         no owner starts a run on the basis of an answer from before a restart
+ *   NO_PROOF_AFTER_RESTART  an ownership check follows the reading of the worker's clock
+ *
+ * A symbol with the prefix REACH_ asserts that a desired execution is impossible, which must be
+ * refuted: REACH_RESTART that a second owner starts a run, REACH_DONE that an end is acknowledged.
  */
 #define OWNERS 2
 #define WORKERS 2
