--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerResponse.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerResponse.java
@@ -1,7 +1,7 @@
 package org.damasktiller.node.caller;
 
 import org.damasktiller.error.ErrorCode;
-import org.damasktiller.platform.ingress.CallerFormats;
+import org.damasktiller.platform.ingress.CallerCodec;
 import org.damasktiller.scheduler.model.SubmissionState;
 
 /**
@@ -45,7 +45,7 @@
      * @return status 200 with the state QUEUED
      */
     static CallerResponse accepted() {
-        return new CallerResponse(OK, CallerFormats.state(SubmissionState.QUEUED), 0);
+        return new CallerResponse(OK, CallerCodec.encodeState(SubmissionState.QUEUED), 0);
     }
 
     /**
@@ -55,7 +55,7 @@
      * @return status 200 with the state
      */
     static CallerResponse state(SubmissionState state) {
-        return new CallerResponse(OK, CallerFormats.state(state), 0);
+        return new CallerResponse(OK, CallerCodec.encodeState(state), 0);
     }
 
     /**
@@ -65,7 +65,7 @@
      * @return status 200 with the count
      */
     static CallerResponse pending(int count) {
-        return new CallerResponse(OK, CallerFormats.pending(count), 0);
+        return new CallerResponse(OK, CallerCodec.encodePendingCount(count), 0);
     }
 
     /**
@@ -76,7 +76,8 @@
     static CallerResponse routeNotFound() {
         return new CallerResponse(
                 NOT_FOUND,
-                CallerFormats.error(ErrorCode.UNKNOWN_KIND, "no route matches the host and path"),
+                CallerCodec.encodeError(
+                        ErrorCode.UNKNOWN_KIND, "no route matches the host and path"),
                 0);
     }
 
@@ -88,7 +89,7 @@
     static CallerResponse unknownSubmission() {
         return new CallerResponse(
                 GONE,
-                CallerFormats.error(
+                CallerCodec.encodeError(
                         ErrorCode.UNKNOWN_JOB, "no submission with this identifier is stored"),
                 0);
     }
@@ -101,7 +102,7 @@
      */
     static CallerResponse malformed(String message) {
         return new CallerResponse(
-                BAD_REQUEST, CallerFormats.error(ErrorCode.BAD_REQUEST, message), 0);
+                BAD_REQUEST, CallerCodec.encodeError(ErrorCode.BAD_REQUEST, message), 0);
     }
 
     /**
@@ -113,7 +114,7 @@
     static CallerResponse bodyTooLarge(int limitBytes) {
         return new CallerResponse(
                 PAYLOAD_TOO_LARGE,
-                CallerFormats.error(
+                CallerCodec.encodeError(
                         ErrorCode.BODY_TOO_LARGE,
                         "the body exceeds the limit of " + limitBytes + " bytes"),
                 0);
@@ -129,7 +130,7 @@
     static CallerResponse notExecuted(String message) {
         return new CallerResponse(
                 SERVICE_UNAVAILABLE,
-                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.encodeError(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 
@@ -142,7 +143,7 @@
     static CallerResponse outcomeUnknown(String message) {
         return new CallerResponse(
                 GATEWAY_TIMEOUT,
-                CallerFormats.error(ErrorCode.STORE_UNAVAILABLE, message),
+                CallerCodec.encodeError(ErrorCode.STORE_UNAVAILABLE, message),
                 RETRY_AFTER_SECONDS);
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -101,7 +101,7 @@
         poller = new WorkerPoller(context, jobTracker, requestSender, new PollListener());
         fillerThrottle = new FillerThrottle(context, requestSender, new InterferenceModel());
         AdviceTicketProvider advice =
-                new AdviceTicketProvider(context, environment.advice(), this::schedulePass);
+                new AdviceTicketProvider(context, environment.adviceCalls(), this::schedulePass);
         WorkerSelector workerSelector = new WorkerSelector(context, fillerThrottle, advice);
         stragglerMitigator =
                 new StragglerMitigator(context, workerSelector, requestSender, runTimes);
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Stops the watches when the term has ended.
+     * Stops the watchers when the term has ended and passes the reason on.
      *
      * @param reason why the term ended
      * @param listener called with the reason
@@ -239,20 +239,20 @@
      */
     private void tick() {
         long now = context.now();
-        boolean changed = false;
+        boolean rosterChanged = false;
         for (WorkerRecord worker : new ArrayList<>(context.allWorkers())) {
             poller.expireRuns(worker);
             drainController.update(worker);
             boolean gone =
-                    !worker.listed && worker.runs.isEmpty() && now >= worker.leaseOverAtMillis;
+                    !worker.listed && worker.runs.isEmpty() && now >= worker.leasesExpireAtMillis;
             if (gone) {
                 context.workers.remove(worker.id);
                 context.unfencedWorkerIds.remove(worker.id);
                 context.log.log("worker.gone", "worker", worker.id);
-                changed = true;
+                rosterChanged = true;
             }
         }
-        if (changed) {
+        if (rosterChanged) {
             commits.enqueueRoster();
         }
         checkPreviousOwners();
@@ -421,8 +421,8 @@
         @Override
         public void onUpdated(WorkerRecord worker, WorkerEntry previousEntry) {
             long born = worker.entry.bootUnixMillis();
-            if (born != 0 && worker.bornUnixMillis != 0 && born > worker.bornUnixMillis) {
-                poller.onRestart(worker, born);
+            if (born != 0 && worker.bootUnixMillis != 0 && born > worker.bootUnixMillis) {
+                poller.resetAfterRestart(worker, born);
             }
             poller.poll(worker);
         }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -47,7 +47,7 @@
     /** The maximum number of starts in a pass, which bounds its duration. A gang is never split. */
     private static final int MAX_STARTS_PER_PASS = 64;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellContext context;
 
     /** Selects workers. */
@@ -71,7 +71,7 @@
     /**
      * Creates a scheduler for the jobs of a cell.
      *
-     * @param context the state, settings and ports shared by the components of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param workerSelector selects workers
      * @param requestSender sends the start requests
      * @param runTimes estimates run times
@@ -254,7 +254,7 @@
             if (!task.isWaiting(now)) {
                 continue;
             }
-            WorkerRecord worker = workerSelector.choose(task);
+            WorkerRecord worker = workerSelector.selectWorker(task);
             if (worker == null) {
                 requestTickets(step);
                 return;
@@ -262,7 +262,7 @@
             requestSender.start(
                     task,
                     worker,
-                    nextRunNumber(task.highestRun),
+                    nextRunNumber(task.highestRunNumber),
                     advice.usableTicket(step, worker));
             startCount++;
         }
@@ -275,23 +275,23 @@
      */
     private void startGang(StepRecord step) {
         long now = context.now();
-        int highestRun = 0;
+        int highestRunNumber = 0;
         for (TaskRecord task : step.tasks) {
             if (!task.isWaiting(now)) {
                 return;
             }
-            highestRun = Math.max(highestRun, task.highestRun);
+            highestRunNumber = Math.max(highestRunNumber, task.highestRunNumber);
         }
-        List<WorkerRecord> workers = workerSelector.chooseGang(step);
+        List<WorkerRecord> workers = workerSelector.selectWorkersForGang(step);
         if (workers.isEmpty()) {
             requestTickets(step);
             return;
         }
-        int run = nextRunNumber(highestRun);
+        int runNumber = nextRunNumber(highestRunNumber);
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
             requestSender.start(
-                    step.tasks.get(index), worker, run, advice.usableTicket(step, worker));
+                    step.tasks.get(index), worker, runNumber, advice.usableTicket(step, worker));
             startCount++;
         }
     }
@@ -310,11 +310,11 @@
     /**
      * Returns the number of the next run of a task.
      *
-     * @param highestRun the highest known number of a run of the task
+     * @param highestRunNumber the highest known number of a run of the task
      * @return the number, higher than those that any former owner has used
      */
-    private int nextRunNumber(int highestRun) {
-        return Math.max(highestRun, context.term.runNumberBase()) + 1;
+    private int nextRunNumber(int highestRunNumber) {
+        return Math.max(highestRunNumber, context.term.runNumberBase()) + 1;
     }
 
     /**
