--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/MetadataKeyValueStore.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.error.ErrorCode;
+import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
-import org.damasktiller.error.Step;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.StoreItem;
@@ -51,7 +51,8 @@
                     } else if (result.status() == StoreStatus.OK) {
                         promise.set(Optional.ofNullable(toStoredValue(result.require().item())));
                     } else {
-                        promise.setException(storeUnavailable(Step.READ, result, Outcome.NOT_RUN));
+                        promise.setException(
+                                storeUnavailable(Operation.READ, result, Outcome.NOT_RUN));
                     }
                 });
         return promise;
@@ -97,7 +98,8 @@
                 after,
                 result -> {
                     if (result.status() != StoreStatus.OK) {
-                        promise.setException(storeUnavailable(Step.READ, result, Outcome.NOT_RUN));
+                        promise.setException(
+                                storeUnavailable(Operation.READ, result, Outcome.NOT_RUN));
                         return;
                     }
                     StorePage page = result.require();
@@ -130,10 +132,11 @@
                 promise.set(new SwapResult(false, 0, toStoredValue(item)));
             }
             case REFUSED ->
-                    promise.setException(storeUnavailable(Step.COMMIT, result, Outcome.NOT_RUN));
+                    promise.setException(
+                            storeUnavailable(Operation.COMMIT, result, Outcome.NOT_RUN));
             default ->
                     promise.setException(
-                            storeUnavailable(Step.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
+                            storeUnavailable(Operation.COMMIT, result, Outcome.OUTCOME_UNKNOWN));
         }
     }
 
@@ -150,14 +153,14 @@
     /**
      * Creates the error for a call that the store did not confirm.
      *
-     * @param step the step that failed
+     * @param operation the operation that failed
      * @param result the reply of the store
      * @param outcome whether the call took effect
      * @return the error, with code STORE_UNAVAILABLE
      */
     private static DamasktillerException storeUnavailable(
-            Step step, StoreResult<?> result, Outcome outcome) {
+            Operation operation, StoreResult<?> result, Outcome outcome) {
         return new DamasktillerException(
-                ErrorCode.STORE_UNAVAILABLE, step, "store", outcome, result.reason());
+                ErrorCode.STORE_UNAVAILABLE, operation, "store", outcome, result.reason());
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifestFactory.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableManifestFactory.java
@@ -7,7 +7,7 @@
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.table.KindOfWork;
 import org.damasktiller.table.OperatorTable;
-import org.damasktiller.table.Repeat;
+import org.damasktiller.table.RepeatPolicy;
 import org.damasktiller.table.WorkClass;
 
 /**
@@ -68,7 +68,7 @@
                 "/" + kind + "/",
                 service,
                 priorityOf(row.workClass()),
-                row.repeat() == Repeat.AT_MOST_ONCE ? 1 : MAXIMUM_ATTEMPTS,
+                row.repeatPolicy() == RepeatPolicy.AT_MOST_ONCE ? 1 : MAXIMUM_ATTEMPTS,
                 EXTENSION_FACTOR,
                 targetMillis == 0 ? DEFAULT_TARGET_LATENCY_MILLIS : targetMillis,
                 false);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/UnitFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/QuantityFormat.java
@@ -4,32 +4,32 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Converts whole amounts followed by one of several units, such as {@code 90s} or {@code 2GB}. */
-final class UnitFormat implements CellFormat<Long> {
+/** Converts whole amounts with a unit, such as {@code 90s} or {@code 2GB}, to the smallest unit. */
+final class QuantityFormat implements CellFormat<Long> {
 
-    /** Milliseconds in a second. */
-    private static final long SECOND = 1000;
+    /** The milliseconds in a second. */
+    private static final long MILLIS_PER_SECOND = 1000;
 
-    /** Milliseconds in a minute. */
-    private static final long MINUTE = 60 * SECOND;
+    /** The milliseconds in a minute. */
+    private static final long MILLIS_PER_MINUTE = 60 * MILLIS_PER_SECOND;
 
-    /** Milliseconds in an hour. */
-    private static final long HOUR = 60 * MINUTE;
+    /** The milliseconds in an hour. */
+    private static final long MILLIS_PER_HOUR = 60 * MILLIS_PER_MINUTE;
 
-    /** Milliseconds in a day. */
-    private static final long DAY = 24 * HOUR;
+    /** The milliseconds in a day. */
+    private static final long MILLIS_PER_DAY = 24 * MILLIS_PER_HOUR;
 
     /** The longest time allowed, in milliseconds. */
-    private static final long LONGEST_TIME = 30 * DAY;
+    private static final long MAXIMUM_TIME_MILLIS = 30 * MILLIS_PER_DAY;
 
-    /** Megabytes in a gigabyte. */
-    private static final long GIGABYTE = 1000;
+    /** The megabytes in a gigabyte. */
+    private static final long MEGABYTES_PER_GIGABYTE = 1000;
 
     /** The largest memory allowed, in megabytes. */
-    private static final long LARGEST_MEMORY = 4_000 * GIGABYTE;
+    private static final long MAXIMUM_MEMORY_MEGABYTES = 4_000 * MEGABYTES_PER_GIGABYTE;
 
-    /** An amount with its unit. */
-    private static final Pattern PATTERN = Pattern.compile("([0-9]{1,12}) ?([A-Za-z]+)");
+    /** Matches an amount, as group 1, and its unit, as group 2. */
+    private static final Pattern QUANTITY_PATTERN = Pattern.compile("([0-9]{1,12}) ?([A-Za-z]+)");
 
     /** The units, the largest first. */
     private final List<Unit> units;
@@ -43,39 +43,41 @@
      * @param units the units, the largest first
      * @param maximum the largest amount allowed, in the smallest unit
      */
-    private UnitFormat(List<Unit> units, long maximum) {
+    private QuantityFormat(List<Unit> units, long maximum) {
         this.units = List.copyOf(units);
         this.maximum = maximum;
     }
 
     /**
-     * Creates a format of times in milliseconds.
+     * Creates a format of durations in milliseconds.
      *
      * @return the format
      */
-    static UnitFormat time() {
-        return new UnitFormat(
+    static QuantityFormat time() {
+        return new QuantityFormat(
                 List.of(
-                        new Unit("d", DAY),
-                        new Unit("h", HOUR),
-                        new Unit("m", MINUTE),
-                        new Unit("s", SECOND),
+                        new Unit("d", MILLIS_PER_DAY),
+                        new Unit("h", MILLIS_PER_HOUR),
+                        new Unit("m", MILLIS_PER_MINUTE),
+                        new Unit("s", MILLIS_PER_SECOND),
                         new Unit("ms", 1)),
-                LONGEST_TIME);
+                MAXIMUM_TIME_MILLIS);
     }
 
     /**
-     * Creates a format of memory in megabytes.
+     * Creates a format of memory sizes in megabytes.
      *
      * @return the format
      */
-    static UnitFormat memory() {
-        return new UnitFormat(List.of(new Unit("GB", GIGABYTE), new Unit("MB", 1)), LARGEST_MEMORY);
+    static QuantityFormat memory() {
+        return new QuantityFormat(
+                List.of(new Unit("GB", MEGABYTES_PER_GIGABYTE), new Unit("MB", 1)),
+                MAXIMUM_MEMORY_MEGABYTES);
     }
 
     @Override
     public Long parse(String text) {
-        Matcher matcher = PATTERN.matcher(text);
+        Matcher matcher = QUANTITY_PATTERN.matcher(text);
         if (!matcher.matches()) {
             throw new IllegalArgumentException(text);
         }
@@ -109,10 +111,10 @@
     }
 
     /**
-     * Names a unit.
+     * Holds a unit of an amount.
      *
-     * @param name the text after the amount
-     * @param size its size in the smallest unit
+     * @param name the symbol that follows the amount
+     * @param size the size of the unit, in the smallest unit
      */
     private record Unit(String name, long size) {}
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/PlaceFormat.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/ZoneListFormat.java
@@ -6,20 +6,23 @@
 import java.util.List;
 import org.damasktiller.identity.ZoneName;
 
-/** Converts the availability zones of a row, joined by {@code |}, or {@code any}. */
-final class PlaceFormat implements CellFormat<List<ZoneName>> {
+/**
+ * Converts lists of availability zones, which are joined by {@code |}; {@code any} allows every
+ * zone.
+ */
+final class ZoneListFormat implements CellFormat<List<ZoneName>> {
 
-    /** The text for every availability zone. */
+    /** The text of an empty list, which allows every availability zone. */
     private static final String ANY = "any";
 
-    /** What stands between two zones. */
+    /** The separator between two zones. */
     private static final char SEPARATOR = '|';
 
     /** The format of one zone. */
     private final NameFormat<ZoneName> zoneFormat = new NameFormat<>(ZoneName::new);
 
     /** Creates a format. */
-    PlaceFormat() {}
+    ZoneListFormat() {}
 
     @Override
     public List<ZoneName> parse(String text) {
@@ -27,7 +30,11 @@
             return List.of();
         }
         List<ZoneName> zones =
-                Splitter.on(SEPARATOR).trimResults().splitToStream(text).map(this::zone).toList();
+                Splitter.on(SEPARATOR)
+                        .trimResults()
+                        .splitToStream(text)
+                        .map(this::parseZone)
+                        .toList();
         if (new HashSet<>(zones).size() != zones.size()) {
             throw new IllegalArgumentException(text);
         }
@@ -45,12 +52,12 @@
     }
 
     /**
-     * Reads one zone of a list.
+     * Parses one zone of a list.
      *
-     * @param text the name of the zone
+     * @param text the name of the zone; {@code any} is not allowed among other zones
      * @return the zone
      */
-    private ZoneName zone(String text) {
+    private ZoneName parseZone(String text) {
         if (text.equals(ANY)) {
             throw new IllegalArgumentException(text);
         }
