--- a/damasktiller-library/src/main/java/org/damasktiller/table/Attempt.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/Attempt.java
@@ -4,18 +4,21 @@
 import java.util.function.Supplier;
 import org.damasktiller.error.DamasktillerException;
 
-/** Turns the errors of a decision into failed promises, so that no reactor takes them as fatal. */
+/**
+ * Converts exceptions thrown by code that returns a promise into failed promises; the reactor would
+ * treat a thrown exception as fatal.
+ */
 final class Attempt {
 
     /** Prevents instantiation. */
     private Attempt() {}
 
     /**
-     * Makes a promise; an error thrown on the way fails it.
+     * Calls a supplier of a promise.
      *
-     * @param supplier makes the promise
+     * @param supplier creates the promise; may throw a {@link DamasktillerException}
      * @param <T> the type of the result
-     * @return the promise
+     * @return the promise of the supplier, or a promise failed with the exception that it threw
      */
     static <T> Promise<T> of(Supplier<Promise<T>> supplier) {
         try {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/CellConflict.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/CellConflict.java
@@ -3,16 +3,18 @@
 import org.damasktiller.identity.KindName;
 
 /**
- * Holds one cell that two operators changed differently.
+ * Describes a cell to which two operators concurrently gave different values.
  *
- * @param kind the row
- * @param column the column, or {@code *} if one of them removed the row
- * @param theirs the value in force
- * @param mine the value of the refused edit
+ * @param kind the key of the row
+ * @param column the header of the column, or {@code *} if one of the operators removed the row
+ * @param theirs the text of the cell in the current table, or {@code removed} or {@code changed}
+ *     for a whole row
+ * @param mine the text of the cell in the refused edit, or {@code removed} or {@code changed} for a
+ *     whole row
  */
 public record CellConflict(KindName kind, String column, String theirs, String mine) {
 
-    /** Stands for the whole row. */
+    /** The column of a conflict that concerns the whole row. */
     static final String WHOLE_ROW = "*";
 
     @Override
--- a/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
@@ -8,22 +8,23 @@
 import org.damasktiller.error.Step;
 import org.damasktiller.identity.KindName;
 
-/** Changes single cells of a table by their text. */
+/** Creates copies of a table in which one cell is replaced, given its text. */
 public final class CellEdits {
 
     /** Prevents instantiation. */
     private CellEdits() {}
 
     /**
-     * Changes one cell. The version stays that of the table, which is the base of the edit.
+     * Replaces one cell. The result keeps the version of the table, since an edit is submitted
+     * together with the version on which it is based.
      *
-     * @param table the table
-     * @param kind the row
-     * @param column the name of the column
-     * @param text the wanted text of the cell
-     * @return the table with the changed cell
-     * @throws DamasktillerException with code UNKNOWN_KIND if there is no such row, or BAD_TABLE if
-     *     there is no such column or it does not allow the text
+     * @param table the table to copy
+     * @param kind the key of the row
+     * @param column the header of the column
+     * @param text the new text of the cell
+     * @return a copy of the table with the new cell
+     * @throws DamasktillerException with code UNKNOWN_KIND if the table has no such row, or
+     *     BAD_TABLE if the column does not exist or does not allow the text
      */
     public static OperatorTable withCell(
             OperatorTable table, KindName kind, String column, String text) {
@@ -46,12 +47,12 @@
     }
 
     /**
-     * Reads a row again with one cell replaced.
+     * Replaces one cell of a row by parsing the texts of all its cells again.
      *
-     * @param row the row
-     * @param column the name of the column
-     * @param text the wanted text of the cell
-     * @return the row with the changed cell
+     * @param row the row to copy
+     * @param column the header of the column
+     * @param text the new text of the cell
+     * @return a copy of the row with the new cell
      */
     private static KindOfWork replaceCell(KindOfWork row, String column, String text) {
         List<String> headers = new ArrayList<>(List.of(TableColumns.KIND));
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
@@ -3,24 +3,25 @@
 import java.util.List;
 import org.damasktiller.store.SwapRequest;
 
-/** Tells what an edit needs next. */
+/** The next action that an edit requires, as decided by {@link TableEditor}. */
 sealed interface EditAction {
 
-    /** Asks to read the table from the store. */
+    /** Requires the table to be read from the store. */
     record Load() implements EditAction {}
 
     /**
-     * Asks to write.
+     * Requires records to be written.
      *
-     * @param preparations immutable records to write first; one that exists already is as good
-     * @param head the write that decides
+     * @param preparations the snapshots and segments that must be stored before the head; one that
+     *     already exists with the same bytes need not be written
+     * @param head the compare-and-swap of the head, which commits the new version
      */
     record Write(List<SwapRequest> preparations, SwapRequest head) implements EditAction {}
 
     /**
-     * Ends the edit.
+     * Completes the edit.
      *
-     * @param result the answer
+     * @param result the result of the edit
      */
     record Done(EditResult result) implements EditAction {}
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditResult.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditResult.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Answers an accepted edit.
+ * Holds the result of an accepted edit.
  *
- * @param version the version that holds the edit
- * @param changes the rows changed; empty if the table already held the edit
+ * @param version the version that contains the edit
+ * @param changes the changed rows; empty if the table already contained every change of the edit
  */
 public record EditResult(long version, List<RowChange> changes) {
 
-    /** Copies the list of changes. */
+    /** Makes an immutable copy of the changes. */
     public EditResult {
         changes = List.copyOf(changes);
     }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditRun.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditRun.java
@@ -5,36 +5,39 @@
 import java.util.function.LongSupplier;
 import org.damasktiller.error.DamasktillerException;
 
-/** Carries out the actions of one {@link TableEditor} and reports their outcome to it. */
+/**
+ * Executes one edit: performs the store accesses that its {@link TableEditor} requires and reports
+ * their outcome to it.
+ */
 final class EditRun {
 
-    /** Reads the table. */
+    /** Reads the current table. */
     private final TableLoader loader;
 
-    /** Reads older deltas. */
+    /** Reads the edits accepted since the base of the edit. */
     private final TableHistory history;
 
-    /** Writes the records. */
+    /** Writes records and head. */
     private final RecordWriter writer;
 
-    /** The time, in milliseconds since 1970. */
+    /** Returns the current time in milliseconds since 1970. */
     private final LongSupplier clock;
 
     /** The edit. */
     private final TableEdit edit;
 
-    /** Decides the steps. */
+    /** Decides the next action. */
     private final TableEditor editor;
 
     /**
-     * Creates a run.
+     * Creates the execution of one edit.
      *
-     * @param loader reads the table
-     * @param history reads older deltas
-     * @param writer writes the records
-     * @param clock the time, in milliseconds since 1970
+     * @param loader reads the current table
+     * @param history reads the edits accepted since the base of the edit
+     * @param writer writes records and head
+     * @param clock returns the current time in milliseconds since 1970
      * @param edit the edit
-     * @param editor decides the steps
+     * @param editor decides the next action; must not be shared with another edit
      */
     EditRun(
             TableLoader loader,
@@ -52,9 +55,12 @@
     }
 
     /**
-     * Reads the table, and older edits where the identity may be among them, and decides.
+     * Reads the table and the edits accepted since the base of this edit, and continues with the
+     * action that follows from them. The accepted edits show whether an earlier attempt of this
+     * edit has already been applied.
      *
-     * @return the answer
+     * @return the result; fails with the exception of {@link TableEditor#onLoaded}, or with code
+     *     STORE_UNAVAILABLE if the store does not answer
      */
     Promise<EditResult> run() {
         return loader.load()
@@ -69,20 +75,20 @@
     }
 
     /**
-     * Lets the editor decide on a reading of the store.
+     * Passes the state read from the store to the editor and performs the action that it requires.
      *
-     * @param reading the reading
-     * @return the answer
+     * @param reading the state read from the store
+     * @return the result of the edit
      */
     private Promise<EditResult> decide(Reading reading) {
         return carryOut(editor.onLoaded(reading.loaded(), reading.deltas(), clock.getAsLong()));
     }
 
     /**
-     * Carries out what the editor needs next.
+     * Performs an action and those that follow it.
      *
-     * @param action what it needs
-     * @return the answer
+     * @param action the action that the editor requires
+     * @return the result of the edit
      */
     private Promise<EditResult> carryOut(EditAction action) {
         if (action instanceof EditAction.Done done) {
@@ -99,10 +105,10 @@
     }
 
     /**
-     * Writes the head and lets the editor decide on the answer or on its absence.
+     * Writes the head and passes the answer, or the fact that none came, to the editor.
      *
-     * @param write the writes
-     * @return the answer
+     * @param write the write whose records are already in the store
+     * @return the result of the edit
      */
     private Promise<EditResult> writeHead(EditAction.Write write) {
         return writer.writeHead(write)
@@ -112,10 +118,10 @@
     }
 
     /**
-     * Holds one reading of the store.
+     * Holds the state read from the store.
      *
-     * @param loaded head and table
-     * @param deltas the deltas after the base of the edit, the latest first
+     * @param loaded the head and the current table
+     * @param deltas the deltas accepted after the base of the edit, latest first
      */
     private record Reading(LoadedTable loaded, List<TableDelta> deltas) {}
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
@@ -5,35 +5,40 @@
 import org.damasktiller.store.SwapRequest;
 
 /**
- * Plans the writes that put a new version in force. The head stays small, since every watcher reads
- * it after each change: deltas beyond a few kilobytes move to segments, and after some segments a
- * snapshot is written.
+ * Plans the writes that commit a new version of the table. Every watcher reads the head after each
+ * change, so the head is kept small: once its deltas exceed {@value #MAXIMUM_TAIL_BYTES} bytes they
+ * move to a segment, and once there are more than {@value #MAXIMUM_SEGMENTS} segments a snapshot
+ * replaces them.
  */
 final class HeadPlanner {
 
-    /** The size above which the tail of the head moves to a segment, in bytes. */
+    /**
+     * The encoded size above which the next edit moves the tail of the head to a segment, in bytes.
+     */
     static final int MAXIMUM_TAIL_BYTES = 2_000;
 
-    /** The size above which an edit is kept as a snapshot, in bytes. */
+    /**
+     * The encoded size above which an edit is stored as a snapshot instead of a delta, in bytes.
+     */
     static final int MAXIMUM_DELTA_BYTES = 64_000;
 
-    /** The number of segments after which a snapshot is written. */
+    /** The number of segments above which a snapshot replaces them. */
     static final int MAXIMUM_SEGMENTS = 32;
 
-    /** Marks snapshots of versions already in force. */
+    /** The end of the key of a snapshot of a version that is already committed. */
     private static final String ACCEPTED = "accepted";
 
-    /** Marks snapshots written back to a store that came back older. */
+    /** The end of the key of a snapshot that restores a version the store has lost. */
     private static final String RESTORED = "restored";
 
     /** Prevents instantiation. */
     private HeadPlanner() {}
 
     /**
-     * Plans the next version.
+     * Plans the writes of the next version.
      *
-     * @param loaded the table in force
-     * @param delta the edit that makes the next version
+     * @param loaded the current table
+     * @param delta the complete delta that leads to the next version
      * @return the writes
      */
     static EditAction.Write next(LoadedTable loaded, TableDelta delta) {
@@ -73,10 +78,10 @@
     }
 
     /**
-     * Plans to write back a table to a store that is behind it.
+     * Plans the writes that restore a table to a store that holds only an older version.
      *
      * @param loaded the older table in the store
-     * @param known the table in force
+     * @param known the latest known table
      * @return the writes
      */
     static EditAction.Write restore(LoadedTable loaded, OperatorTable known) {
@@ -84,12 +89,13 @@
     }
 
     /**
-     * Plans to put a whole table in force, with a snapshot of its own.
+     * Plans the writes of a version that is stored as a snapshot.
      *
-     * @param loaded the table in force
-     * @param table the new table
-     * @param writer who writes it, for the key of the snapshot
-     * @param tail the latest deltas, all of them at or before the new version
+     * @param loaded the table in the store
+     * @param table the table of the new version
+     * @param writer the end of the key of the snapshot, which tells apart the snapshots that
+     *     different writers create for one version
+     * @param tail the deltas of the new head, none of them later than the new version
      * @return the writes
      */
     private static EditAction.Write snapshot(
@@ -109,22 +115,22 @@
     }
 
     /**
-     * Asks to create an immutable record.
+     * Returns the request that creates a record.
      *
-     * @param key the key
-     * @param value the bytes
-     * @return the write
+     * @param key the key, which must not exist yet
+     * @param value the encoded record
+     * @return the request
      */
     private static SwapRequest create(String key, byte[] value) {
         return new SwapRequest(key, 0, value);
     }
 
     /**
-     * Asks to replace the head.
+     * Returns the request that replaces the head.
      *
-     * @param revision the revision that the head must have
+     * @param revision the revision that the head must have, or zero if it must not exist yet
      * @param next the new head
-     * @return the write
+     * @return the request
      */
     private static SwapRequest swap(long revision, TableHead next) {
         return new SwapRequest(TableKeys.HEAD, revision, TableCodec.encodeHead(next));
--- a/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
@@ -11,25 +11,27 @@
 import java.util.Optional;
 import org.damasktiller.identity.KindName;
 
-/** Holds one version of the operators' table. Immutable, so safe for use by several threads. */
+/** Holds one version of the operators' table. Immutable and therefore thread-safe. */
 public final class OperatorTable {
 
     /** The table before the first edit. */
     public static final OperatorTable EMPTY = of(0, List.of());
 
-    /** The version, which only rises. */
+    /** The version, which each accepted edit increases by one. */
     private final long version;
 
-    /** The rows by kind, in the operators' order. */
+    /** The rows by kind, in the order chosen by the operators. */
     private final ImmutableMap<KindName, KindOfWork> rows;
 
-    /** The sum of the hashes of the rows, kept up to date by each delta. */
+    /**
+     * The sum of the hashes of the rows; changes update it without hashing the other rows again.
+     */
     private final long rowHashes;
 
     /**
      * Creates a table.
      *
-     * @param version the version
+     * @param version the version, not negative
      * @param rows the rows by kind
      * @param rowHashes the sum of the hashes of the rows
      */
@@ -43,9 +45,9 @@
      * Creates a table.
      *
      * @param version the version, not negative
-     * @param rows the rows, each kind once
+     * @param rows the rows in the order chosen by the operators, one per kind
      * @return the table
-     * @throws IllegalArgumentException if a kind stands twice or the version is negative
+     * @throws IllegalArgumentException if a kind occurs twice or the version is negative
      */
     public static OperatorTable of(long version, List<KindOfWork> rows) {
         if (version < 0) {
@@ -69,7 +71,7 @@
     /**
      * Returns the rows.
      *
-     * @return the rows in the operators' order
+     * @return the rows in the order chosen by the operators
      */
     public ImmutableList<KindOfWork> rows() {
         return rows.values().asList();
@@ -79,15 +81,15 @@
      * Finds the row of a kind.
      *
      * @param name the kind
-     * @return the row, or empty if the table has no such kind
+     * @return the row, or empty if the table has no row of this kind
      */
     public Optional<KindOfWork> row(KindName name) {
         return Optional.ofNullable(rows.get(name));
     }
 
     /**
-     * Computes a digest of version and rows, equal on all members that hold the same table. It does
-     * not depend on the order of the rows.
+     * Computes a digest of version and rows, by which processes check that they hold the same
+     * table. The digest does not depend on the order of the rows.
      *
      * @return the digest
      */
@@ -101,24 +103,27 @@
     }
 
     /**
-     * Applies the edit that follows this version.
+     * Applies the delta that leads to the next version.
      *
-     * @param delta the edit, complete and of the next version
+     * @param delta the complete delta of the next version
      * @return the table of the next version
-     * @throws IllegalArgumentException if the edit is not complete or not the next one
+     * @throws IllegalArgumentException if the delta is not complete or is not that of the next
+     *     version
      */
     public OperatorTable apply(TableDelta delta) {
         if (delta.version() != version + 1 || !delta.complete()) {
-            throw new IllegalArgumentException("not the complete edit after version " + version);
+            throw new IllegalArgumentException(
+                    "not the complete delta that follows version " + version);
         }
         return with(delta.version(), delta.changes());
     }
 
     /**
-     * Undoes an edit, if the rows before it are known.
+     * Reverts the delta that led to this version. Rows that the edit removed are appended at the
+     * end, since a delta does not hold their position.
      *
-     * @param delta the complete edit that made this version, with the rows before it
-     * @return the table of the version before
+     * @param delta the complete delta of this version, with the rows before the edit
+     * @return the table of the previous version
      */
     OperatorTable undo(TableDelta delta) {
         return with(
@@ -129,10 +134,11 @@
     }
 
     /**
-     * Changes rows.
+     * Returns a copy of this table with some rows replaced, removed or added. New rows are appended
+     * at the end.
      *
      * @param newVersion the version of the result
-     * @param changes the changed rows
+     * @param changes the changes, of which only the rows after the change are used
      * @return the changed table
      */
     OperatorTable with(long newVersion, List<RowChange> changes) {
@@ -151,7 +157,7 @@
     }
 
     /**
-     * Hashes the cells of a row.
+     * Hashes the kind and the cell texts of a row.
      *
      * @param row the row
      * @return the hash
--- a/damasktiller-library/src/main/java/org/damasktiller/table/RecordWriter.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/RecordWriter.java
@@ -10,13 +10,19 @@
 import org.damasktiller.store.SwapResult;
 import org.jspecify.annotations.Nullable;
 
-/** Writes the records of the table and deletes old ones. Belongs to one reactor thread. */
+/**
+ * Writes the head, segments and snapshots of the table and deletes old segments and snapshots.
+ * Confined to one reactor thread.
+ */
 final class RecordWriter {
 
-    /** How many segments of the history are kept. */
+    /** The number of latest segments that are kept for the history. */
     static final int MAXIMUM_HISTORY_SEGMENTS = 128;
 
-    /** How many snapshots are kept, so that a reader in the middle of a read can finish. */
+    /**
+     * The number of latest snapshots that are kept, so that a reader that has read the previous
+     * head can still read its snapshot.
+     */
     static final int MAXIMUM_SNAPSHOTS = 2;
 
     /** The key-value service. */
@@ -32,42 +38,43 @@
     }
 
     /**
-     * Writes the immutable records and then the head.
+     * Writes the records and then the head.
      *
      * @param write the writes
-     * @return the answer to the write of the head
+     * @return the answer of the store to the write of the head
      */
     Promise<SwapResult> write(EditAction.Write write) {
         return prepare(write).then(ignored -> writeHead(write));
     }
 
     /**
-     * Writes the immutable records.
+     * Writes the records that must be stored before the head.
      *
      * @param write the writes
-     * @return a promise completed after the last record
+     * @return a promise that completes when all records are in the store
      */
     Promise<Void> prepare(EditAction.Write write) {
         return prepare(write.preparations(), 0);
     }
 
     /**
-     * Writes the head, and deletes old records once it is in force.
+     * Writes the head and, once it is written, starts to delete old records.
      *
      * @param write the writes
-     * @return the answer to the write of the head
+     * @return the answer of the store to the write of the head, which does not wait for the
+     *     deletions
      */
     Promise<SwapResult> writeHead(EditAction.Write write) {
         return store.compareAndSwap(write.head()).whenResult(result -> trim(write, result));
     }
 
     /**
-     * Writes immutable records in order. A record that exists with other bytes was left by a try
-     * that was never accepted and is replaced.
+     * Writes records one after the other. A record that exists with different bytes is left over
+     * from an attempt whose head was never written, and is replaced.
      *
      * @param requests the records
-     * @param index the next record
-     * @return a promise completed after the last record
+     * @param index the index of the next record to write
+     * @return a promise that completes when all records are in the store
      */
     private Promise<Void> prepare(List<SwapRequest> requests, int index) {
         if (index == requests.size()) {
@@ -80,11 +87,11 @@
     }
 
     /**
-     * Replaces a record that exists with other bytes.
+     * Replaces a record if it exists with different bytes.
      *
      * @param request the record to write
-     * @param current the record that exists, or null if the write took effect
-     * @return a promise completed when the record is in the store
+     * @param current the existing record, or null if the write took effect
+     * @return a promise that completes after the replacement, or at once if none is needed
      */
     private Promise<Void> replaceIfOther(SwapRequest request, @Nullable StoredValue current) {
         if (current == null || Arrays.equals(current.value(), request.value())) {
@@ -96,11 +103,11 @@
     }
 
     /**
-     * Deletes the oldest records after a write that added some; a failure leaves them for the next
-     * time.
+     * Deletes old segments and snapshots if the write was applied and added any. Failures are
+     * ignored: records that remain are deleted after a later write.
      *
      * @param write the writes of the edit
-     * @param result the answer to the write of the head
+     * @param result the answer of the store to the write of the head
      */
     private void trim(EditAction.Write write, SwapResult result) {
         if (write.preparations().isEmpty() || !result.applied()) {
@@ -113,11 +120,11 @@
     }
 
     /**
-     * Deletes the oldest of some records that the head does not need.
+     * Deletes the oldest records, except for those that the head needs.
      *
-     * @param records the records, the oldest first
-     * @param kept how many to keep
-     * @param head the head
+     * @param records the segments or the snapshots, oldest first
+     * @param kept the number of latest records to keep
+     * @param head the current head
      */
     private void delete(List<StoredValue> records, int kept, TableHead head) {
         for (StoredValue old : records.subList(0, Math.max(0, records.size() - kept))) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/RowChange.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/RowChange.java
@@ -6,16 +6,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Holds the change of one row.
+ * Describes how an edit changes one row.
  *
  * @param kind the key of the row
- * @param before the row before, or null if it was absent or is not told
- * @param after the row after, or null if it was removed
+ * @param before the row before the edit, or null if it did not exist or was left out
+ * @param after the row after the edit, or null if the edit removes it
  */
 public record RowChange(KindName kind, @Nullable KindOfWork before, @Nullable KindOfWork after) {
 
     /**
-     * Describes the change for operators, cell by cell.
+     * Describes the change for operators, listing each changed cell.
      *
      * @return the description, such as {@code billing: weight 3 -> 5}
      */
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Leaves out the row before.
+     * Returns the change without the row before the edit.
      *
-     * @return the change as it is sent between members
+     * @return the change as sent between nodes
      */
     RowChange withoutBefore() {
         return new RowChange(kind, null, after);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/SegmentRange.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/SegmentRange.java
@@ -1,15 +1,15 @@
 package org.damasktiller.table;
 
 /**
- * Names a run of versions whose deltas are kept under one key.
+ * Identifies a segment: a record that holds the deltas of consecutive versions.
  *
- * @param first the first version
- * @param last the last version, not below the first
+ * @param first the version of the first delta
+ * @param last the version of the last delta, not less than the first
  */
 record SegmentRange(long first, long last) {
 
     /**
-     * Returns the key of the segment; keys sort by version.
+     * Returns the key of the segment; the keys of segments sort by version.
      *
      * @return the key in the store
      */
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
@@ -16,15 +16,15 @@
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
 /**
- * Converts heads, segments and deltas to MessagePack and back; rows travel as compact CSV, so that
- * a column at its default costs nothing. Safe for use by several threads.
+ * Encodes heads and deltas as MessagePack and decodes them. Rows are encoded as compact CSV, which
+ * leaves out the columns that hold their default in every row. Thread-safe.
  */
 public final class TableCodec {
 
-    /** Converts records to MessagePack arrays. */
+    /** Converts between records and MessagePack. */
     private static final ObjectMapper MAPPER = new MessagePackMapper();
 
-    /** Stands for no rows. */
+    /** The encoding of an empty list of rows. */
     private static final byte[] NO_ROWS = {};
 
     /** Prevents instantiation. */
@@ -34,7 +34,7 @@
      * Encodes deltas.
      *
      * @param deltas the deltas
-     * @return the bytes
+     * @return the bytes, as stored in a segment
      */
     public static byte[] encodeDeltas(List<TableDelta> deltas) {
         return encode(deltas.stream().map(TableCodec::toRecord).toArray(DeltaRecord[]::new));
@@ -43,9 +43,9 @@
     /**
      * Decodes deltas.
      *
-     * @param bytes the bytes
-     * @return the deltas
-     * @throws DamasktillerException with code PROTOCOL_ERROR if the bytes are not deltas
+     * @param bytes the bytes, as written by {@link #encodeDeltas}
+     * @return the deltas in the order in which they were encoded
+     * @throws DamasktillerException with code PROTOCOL_ERROR if the bytes do not encode deltas
      */
     public static List<TableDelta> decodeDeltas(byte[] bytes) {
         DeltaRecord[] records = decode(bytes, DeltaRecord[].class);
@@ -60,7 +60,7 @@
      * Encodes a head.
      *
      * @param head the head
-     * @return the bytes
+     * @return the bytes, as stored under {@link TableKeys#HEAD}
      */
     static byte[] encodeHead(TableHead head) {
         return encode(
@@ -76,9 +76,9 @@
     /**
      * Decodes a head.
      *
-     * @param bytes the bytes
+     * @param bytes the bytes, as written by {@link #encodeHead}
      * @return the head
-     * @throws DamasktillerException with code PROTOCOL_ERROR if the bytes are not a head
+     * @throws DamasktillerException with code PROTOCOL_ERROR if the bytes do not encode a head
      */
     static TableHead decodeHead(byte[] bytes) {
         HeadRecord decoded = decode(bytes, HeadRecord.class);
@@ -92,10 +92,10 @@
     }
 
     /**
-     * Converts a delta to what is written.
+     * Converts a delta to its stored form.
      *
      * @param delta the delta
-     * @return the record
+     * @return the stored form
      */
     private static DeltaRecord toRecord(TableDelta delta) {
         List<KindOfWork> before = new ArrayList<>();
@@ -125,9 +125,9 @@
     }
 
     /**
-     * Converts what was written to a delta.
+     * Converts the stored form of a delta back to the delta.
      *
-     * @param decoded the record
+     * @param decoded the stored form
      * @return the delta
      */
     private static TableDelta toDelta(DeltaRecord decoded) {
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Reads compact rows.
+     * Decodes rows.
      *
-     * @param csv the rows, or no bytes
+     * @param csv the rows as compact CSV, or an empty array for no rows
      * @return the rows
      */
     private static List<KindOfWork> readRows(byte[] csv) {
@@ -161,25 +161,25 @@
     }
 
     /**
-     * Encodes a record.
+     * Encodes a record as MessagePack.
      *
-     * @param value the record
+     * @param value the record or an array of records
      * @return the bytes
      */
     private static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("records of the table can always be encoded", e);
+            throw new IllegalStateException("a record of the table cannot be encoded", e);
         }
     }
 
     /**
-     * Decodes a record.
+     * Decodes a record from MessagePack.
      *
      * @param bytes the bytes
-     * @param type the type of the record
-     * @param <T> the type of the record
+     * @param type the class of the record, or of an array of records
+     * @param <T> the type to which the bytes are decoded
      * @return the record
      */
     private static <T> T decode(byte[] bytes, Class<T> type) {
@@ -197,14 +197,14 @@
     }
 
     /**
-     * Holds a head as it is written.
+     * The stored form of a {@link TableHead}. The components are stored by position.
      *
-     * @param version the version in force
-     * @param digest the digest
-     * @param snapshotKey the key of the snapshot
-     * @param snapshotVersion the version of the snapshot
-     * @param segments the segments
-     * @param tail the encoded deltas
+     * @param version the current version
+     * @param digest the digest of the current table
+     * @param snapshotKey the key of the snapshot, or an empty string if there is none
+     * @param snapshotVersion the version of the snapshot, or zero if there is none
+     * @param segments the segments after the snapshot, in order of version
+     * @param tail the latest deltas, encoded by {@link #encodeDeltas}
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @SuppressWarnings("ArrayRecordComponent")
@@ -217,16 +217,16 @@
             byte[] tail) {}
 
     /**
-     * Holds a delta as it is written.
+     * The stored form of a {@link TableDelta}. The components are stored by position.
      *
-     * @param version the version
-     * @param id the identity of the edit
-     * @param operator the operator
-     * @param acceptedAtMillis when it was accepted
-     * @param complete whether the changes are listed
-     * @param removed the kinds removed
-     * @param before the rows before, as compact CSV
-     * @param after the rows after, as compact CSV
+     * @param version the version to which the delta leads
+     * @param id the ID of the edit
+     * @param operator the name of the operator
+     * @param acceptedAtMillis when the edit was accepted, in milliseconds since 1970
+     * @param complete whether the changes are included
+     * @param removed the kinds of the removed rows
+     * @param before the changed and removed rows before the edit, as compact CSV; empty if left out
+     * @param after the changed and added rows after the edit, as compact CSV
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @SuppressWarnings("ArrayRecordComponent")
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableDelta.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableDelta.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * Holds one accepted edit: what turns the table of the version before into this one.
+ * Describes one accepted edit as the difference between the previous version of the table and the
+ * version that the edit created.
  *
- * @param version the version that the edit made
- * @param id the identity of the edit
+ * @param version the version that the edit created
+ * @param id the ID of the edit
  * @param operator the name of the operator
  * @param acceptedAtMillis when the edit was accepted, in milliseconds since 1970
- * @param complete whether the changes are listed; an edit too large for a delta is read from its
- *     snapshot instead
- * @param changes the changed rows, each kind once
+ * @param complete whether the changes are included; the result of an edit too large for a delta is
+ *     stored as a snapshot instead
+ * @param changes the changed rows, one per kind; empty if the delta is not complete
  */
 public record TableDelta(
         long version,
@@ -21,15 +22,15 @@
         boolean complete,
         List<RowChange> changes) {
 
-    /** Copies the list of changes. */
+    /** Makes an immutable copy of the changes. */
     public TableDelta {
         changes = List.copyOf(changes);
     }
 
     /**
-     * Leaves out the rows before, which only the history needs.
+     * Returns the delta without the rows before the edit, which only the history needs.
      *
-     * @return the delta as it is sent between members
+     * @return the delta as sent between nodes
      */
     public TableDelta withoutBefore() {
         return new TableDelta(
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Leaves out the changes of an edit too large for a delta.
+     * Returns the delta without the changes, for an edit whose result is stored as a snapshot.
      *
-     * @return the delta with its identity only
+     * @return the incomplete delta, which still identifies the edit in the history
      */
     TableDelta withoutChanges() {
         return new TableDelta(version, id, operator, acceptedAtMillis, false, List.of());
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableEditor.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableEditor.java
@@ -8,43 +8,47 @@
 import org.damasktiller.store.SwapResult;
 
 /**
- * Decides the steps of one edit under compare-and-swap. It does no I/O: whoever drives it carries
- * out the {@link EditAction} and reports the outcome. A write without an answer is read back and
- * recognised by the identity of the edit; it is never repeated on another revision of the head
- * unless the read shows that it did not and cannot take effect.
+ * Decides the actions of one edit, which commits by compare-and-swap of the head. It performs no
+ * I/O: {@link EditRun} performs each {@link EditAction} and reports the outcome. After a write
+ * without an answer the table is read again and the edit is recognised by its ID if it was applied.
+ * The write is repeated on another revision of the head only if that read shows that the first
+ * write was not applied and can no longer be applied.
  */
 final class TableEditor {
 
-    /** How often the table is read before the edit is given up. */
+    /**
+     * The maximum number of attempts to commit the edit, each of which starts with a read of the
+     * table.
+     */
     static final int MAXIMUM_LOADS = 8;
 
     /** The edit. */
     private final TableEdit edit;
 
-    /** The rules for whole tables. */
+    /** Checks the merged table. */
     private final TableRules rules;
 
-    /** The highest version known to be in force; the store must not be behind it. */
+    /** The latest version known to be committed; a store with an older version has lost writes. */
     private final long floorVersion;
 
-    /** How often the table was read. */
+    /** The number of reads of the table so far. */
     private int loads;
 
-    /** Whether a write got no answer. */
+    /** Whether a write that got no answer may have been applied or may still be applied. */
     private boolean ambiguous;
 
-    /** The revision of the head on which the latest write depended. */
+    /** The revision of the head that the latest write expects. */
     private long writtenOnRevision;
 
-    /** The answer if the latest write took effect. */
+    /** The result of the edit if the latest write is applied. */
     private EditResult pending = new EditResult(0, List.of());
 
     /**
-     * Creates an editor.
+     * Creates an editor for one edit.
      *
      * @param edit the edit
-     * @param rules the rules for whole tables
-     * @param floorVersion the highest version known to be in force
+     * @param rules checks the merged table
+     * @param floorVersion the latest version known to be committed, or zero if none is known
      */
     TableEditor(TableEdit edit, TableRules rules, long floorVersion) {
         this.edit = edit;
@@ -53,13 +57,16 @@
     }
 
     /**
-     * Decides on the table as read from the store.
+     * Decides the action that follows a read of the table.
      *
-     * @param loaded the table in force
-     * @param deltas the edits accepted after the base of this one, searched for its identity
-     * @param nowMillis the time, in milliseconds since 1970
-     * @return what is needed next
-     * @throws DamasktillerException with code TABLE_CONFLICT, BAD_TABLE or STORE_UNAVAILABLE
+     * @param loaded the current table
+     * @param deltas the edits accepted after the base of this edit, searched for its ID
+     * @param nowMillis the current time in milliseconds since 1970
+     * @return the next action: {@link EditAction.Done} if the edit is already applied or changes
+     *     nothing, else {@link EditAction.Write}
+     * @throws DamasktillerException with code TABLE_CONFLICT if another operator changed the same
+     *     cell, BAD_TABLE if the merged table is not allowed, or STORE_UNAVAILABLE if the store has
+     *     lost writes or the number of attempts is exhausted
      */
     EditAction onLoaded(LoadedTable loaded, List<TableDelta> deltas, long nowMillis) {
         loads++;
@@ -76,19 +83,19 @@
     }
 
     /**
-     * Decides on the answer to the write of the head.
+     * Decides the action that follows the answer to the write of the head.
      *
-     * @param result the answer
-     * @return what is needed next
+     * @param result the answer of the store
+     * @return the next action
      */
     EditAction onSwap(SwapResult result) {
         return result.applied() ? new EditAction.Done(pending) : new EditAction.Load();
     }
 
     /**
-     * Decides after a write of the head without an answer.
+     * Decides the action that follows a write of the head that got no answer.
      *
-     * @return what is needed next
+     * @return the next action
      */
     EditAction onNoAnswer() {
         ambiguous = true;
@@ -96,10 +103,11 @@
     }
 
     /**
-     * Makes the error for an edit that is given up because the store does not answer.
+     * Creates the exception of an edit that fails because the store is unavailable.
      *
-     * @param reason what happened
-     * @return the error; its outcome is unknown if a write may yet take effect
+     * @param reason the cause, for the message
+     * @return the exception; its outcome is OUTCOME_UNKNOWN if a write may have been applied or may
+     *     still be applied, else NOT_RUN
      */
     DamasktillerException unavailable(String reason) {
         return new DamasktillerException(
@@ -109,17 +117,17 @@
                 ambiguous ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN,
                 reason
                         + (ambiguous
-                                ? "; the edit may be in force, send it again with its identity "
+                                ? "; the edit may have been applied, retry it with the same ID "
                                         + edit.id()
-                                : "; the edit is not in force"));
+                                : "; the edit has not been applied"));
     }
 
     /**
-     * Merges the edit and plans its writes.
+     * Merges the edit into the current table and plans the writes.
      *
-     * @param loaded the table in force
-     * @param nowMillis the time, in milliseconds since 1970
-     * @return what is needed next
+     * @param loaded the current table
+     * @param nowMillis the current time in milliseconds since 1970
+     * @return the next action
      */
     private EditAction write(LoadedTable loaded, long nowMillis) {
         List<RowChange> changes = TableMerge.merge(edit, loaded.table());
@@ -136,21 +144,22 @@
     }
 
     /**
-     * Checks that the store is not behind what is in force, and that the edit is worth another try.
+     * Checks that the store has not lost committed versions and that the number of attempts is not
+     * exhausted.
      *
-     * @param loaded the table in force
+     * @param loaded the current table
      */
     private void checkStore(LoadedTable loaded) {
         if (loaded.table().version() < floorVersion) {
             throw unavailable(
-                    "the store is back at table version "
+                    "the store holds table version "
                             + loaded.table().version()
-                            + " while "
+                            + " although version "
                             + floorVersion
-                            + " is in force and being written back");
+                            + " was committed and is being restored");
         }
         if (loads > MAXIMUM_LOADS) {
-            throw unavailable("the edit lost the race " + MAXIMUM_LOADS + " times");
+            throw unavailable("the edit could not be confirmed in " + MAXIMUM_LOADS + " attempts");
         }
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHead.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHead.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * Holds the one record of the store that decides which table is in force: a snapshot and the deltas
- * after it, the older of them in segments of their own.
+ * Holds the record of the store that defines the current table: it refers to a snapshot and to the
+ * segments with the deltas after it, and contains the latest deltas itself.
  *
- * @param version the version in force
- * @param digest the digest of the table in force
- * @param snapshotKey the key of the snapshot, or an empty text if the table started empty
- * @param snapshotVersion the version of the snapshot, or zero
- * @param segments the segments after the snapshot, in order
- * @param tail the latest deltas, in order
+ * @param version the current version
+ * @param digest the digest of the current table
+ * @param snapshotKey the key of the snapshot, or an empty string if no snapshot exists and the
+ *     deltas start from the empty table
+ * @param snapshotVersion the version of the snapshot, or zero if no snapshot exists
+ * @param segments the segments after the snapshot, in order of version
+ * @param tail the latest deltas, in order of version
  */
 record TableHead(
         long version,
@@ -25,17 +26,17 @@
     static final TableHead EMPTY =
             new TableHead(0, OperatorTable.EMPTY.digest(), "", 0, List.of(), List.of());
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     TableHead {
         segments = List.copyOf(segments);
         tail = List.copyOf(tail);
     }
 
     /**
-     * Tells whether the tail leads from a version to the version in force.
+     * Returns whether the deltas of the tail alone lead from a given version to the current one.
      *
-     * @param from the version held
-     * @return whether the tail alone suffices
+     * @param from the version of the table at hand
+     * @return whether no snapshot and no segment needs to be read
      */
     boolean tailCovers(long from) {
         long first = tail.isEmpty() ? version + 1 : tail.get(0).version();
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
@@ -13,7 +13,10 @@
 import org.damasktiller.store.KeyValueStore;
 import org.damasktiller.store.StoredValue;
 
-/** Reads accepted edits and earlier versions from the store. Belongs to one reactor thread. */
+/**
+ * Reads accepted edits and earlier versions of the table from the store. Confined to one reactor
+ * thread.
+ */
 final class TableHistory {
 
     /** The key-value service. */
@@ -29,11 +32,12 @@
     }
 
     /**
-     * Reads the deltas after a version; the segments are read only if the head does not hold them.
+     * Reads the deltas after a version. The segments are read only if the head does not contain all
+     * of these deltas.
      *
-     * @param loaded the table in force
-     * @param version the version
-     * @return the deltas that are kept up to the version in force, the latest first
+     * @param loaded the current table
+     * @param version the version after which deltas are returned
+     * @return the deltas up to the current version, latest first, without those already deleted
      */
     Promise<List<TableDelta>> deltasAfter(LoadedTable loaded, long version) {
         List<TableDelta> tail = loaded.head().tail();
@@ -48,9 +52,9 @@
     /**
      * Reads the table of an earlier version.
      *
-     * @param loaded the table in force
+     * @param loaded the current table
      * @param version the version
-     * @return the table; fails with code BAD_REQUEST if the history does not reach back to it
+     * @return the table; fails with code BAD_REQUEST if the history does not contain the version
      */
     Promise<OperatorTable> tableAt(LoadedTable loaded, long version) {
         return deltasAfter(loaded, version)
@@ -58,12 +62,14 @@
     }
 
     /**
-     * Merges the deltas of head and segments.
+     * Merges the deltas of head and segments. A version found more than once is returned once, the
+     * head first; versions later than the current table, which concurrent edits may have added
+     * since it was read, are left out.
      *
-     * @param loaded the table in force
-     * @param segments the segments
-     * @param version the version after which deltas are wanted
-     * @return the deltas, the latest first
+     * @param loaded the current table
+     * @param segments the segments as stored
+     * @param version the version after which deltas are returned
+     * @return the deltas, latest first
      */
     private static List<TableDelta> merge(
             LoadedTable loaded, List<StoredValue> segments, long version) {
@@ -82,12 +88,13 @@
     }
 
     /**
-     * Undoes edits back to a version.
+     * Reverts edits from the current version back to an earlier one.
      *
-     * @param loaded the table in force
-     * @param deltas the deltas, the latest first
-     * @param version the version
-     * @return the table of the version
+     * @param loaded the current table
+     * @param deltas the deltas after the earlier version, latest first
+     * @param version the earlier version
+     * @return the table of that version
+     * @throws DamasktillerException with code BAD_REQUEST if a delta is missing or not complete
      */
     private static OperatorTable undo(LoadedTable loaded, List<TableDelta> deltas, long version) {
         OperatorTable table = loaded.table();
@@ -106,7 +113,7 @@
                 Outcome.NOT_RUN,
                 "table version "
                         + version
-                        + " is not kept; allowed are "
+                        + " is not in the history; available are "
                         + table.version()
                         + " to "
                         + loaded.table().version());
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
@@ -2,10 +2,13 @@
 
 import java.util.Locale;
 
-/** Names the keys of the table in the store. */
+/** Defines the keys under which the records of the table are stored. */
 public final class TableKeys {
 
-    /** The key of the head, which alone decides what is in force; also the prefix to watch. */
+    /**
+     * The key of the head, which alone defines the current version; also the prefix to watch for
+     * changes of the table.
+     */
     public static final String HEAD = "table/head";
 
     /** The prefix of the keys of snapshots. */
@@ -18,10 +21,10 @@
     private TableKeys() {}
 
     /**
-     * Names a segment of deltas.
+     * Returns the key of a segment.
      *
-     * @param first the first version
-     * @param last the last version
+     * @param first the version of the first delta
+     * @param last the version of the last delta
      * @return the key
      */
     static String segment(long first, long last) {
@@ -29,10 +32,11 @@
     }
 
     /**
-     * Names a snapshot.
+     * Returns the key of a snapshot.
      *
      * @param version the version of the table
-     * @param writer who wrote it, since a snapshot may be written before its version is accepted
+     * @param writer tells apart the snapshots that concurrent edits write for one version before
+     *     one of them is accepted
      * @return the key
      */
     static String snapshot(long version, String writer) {
@@ -40,10 +44,10 @@
     }
 
     /**
-     * Reads the version from the key of a snapshot or segment, the last version for a segment.
+     * Extracts the version from the key of a snapshot or a segment.
      *
      * @param key the key
-     * @return the version
+     * @return the version of the snapshot, or the last version of the segment
      */
     static long version(String key) {
         String name = key.substring(key.lastIndexOf('/') + 1);
@@ -53,10 +57,10 @@
     }
 
     /**
-     * Writes a version so that keys sort by it.
+     * Formats a version so that the lexicographic order of the keys is the order of the versions.
      *
      * @param version the version
-     * @return twelve digits
+     * @return the version, padded with zeros to twelve digits
      */
     private static String digits(long version) {
         return String.format(Locale.ROOT, "%012d", version);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
@@ -12,18 +12,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the table from the store. It remembers the last table read, so that as a rule only the head
- * is read. Belongs to one reactor thread.
+ * Reads the current table from the store. The last table read is cached, so that usually only the
+ * head has to be read. Confined to one reactor thread.
  */
 public final class TableLoader {
 
-    /** How often a read starts again because a record was replaced in the middle of it. */
+    /**
+     * How often a read is restarted if a record that the head refers to was deleted or replaced
+     * after the head was read.
+     */
     private static final int MAXIMUM_TRIES = 4;
 
     /** The key-value service. */
     private final KeyValueStore store;
 
-    /** The last table read. */
+    /** The last table read, or the empty table before the first read. */
     private OperatorTable cached = OperatorTable.EMPTY;
 
     /**
@@ -36,7 +39,7 @@
     }
 
     /**
-     * Reads the table in force according to the store.
+     * Reads the current table.
      *
      * @return the table; fails with code STORE_UNAVAILABLE if the store does not answer
      */
@@ -45,18 +48,19 @@
     }
 
     /**
-     * Reads head and table.
+     * Reads the head and the current table.
      *
-     * @return both
+     * @return both; fails with code STORE_UNAVAILABLE if the store does not answer or its records
+     *     are inconsistent, or PROTOCOL_ERROR if a record cannot be decoded
      */
     Promise<LoadedTable> load() {
         return load(MAXIMUM_TRIES);
     }
 
     /**
-     * Reads head and table.
+     * Reads the head and the current table.
      *
-     * @param tries how often to start again at most
+     * @param tries how often the read may be restarted
      * @return both
      */
     private Promise<LoadedTable> load(int tries) {
@@ -69,10 +73,11 @@
     }
 
     /**
-     * Assembles the table of a head.
+     * Assembles the table of a head, from the cached table if the tail of the head covers the
+     * versions since, otherwise from snapshot and segments.
      *
      * @param value the head as stored
-     * @param tries how often to start again at most
+     * @param tries how often the read may be restarted
      * @return head and table
      */
     private Promise<LoadedTable> assemble(StoredValue value, int tries) {
@@ -89,13 +94,15 @@
     }
 
     /**
-     * Applies the tail and checks the digest; starts again if a record was missing.
+     * Applies the tail and checks the digest. If a record is missing or the digest differs, the
+     * read is restarted.
      *
      * @param head the head
      * @param value the head as stored
-     * @param base snapshot and segments, or null if one of them is gone
-     * @param tries how often to start again at most
-     * @return head and table
+     * @param base the table after the last segment, or null if a record is missing
+     * @param tries how often the read may be restarted
+     * @return head and table; fails with code STORE_UNAVAILABLE if the check fails and no restart
+     *     is left
      */
     private Promise<LoadedTable> check(
             TableHead head, StoredValue value, @Nullable OperatorTable base, int tries) {
@@ -114,14 +121,17 @@
                         Step.READ,
                         "store",
                         Outcome.NOT_RUN,
-                        "the records of table version " + head.version() + " do not fit together"));
+                        "the stored records of table version "
+                                + head.version()
+                                + " are missing or inconsistent"));
     }
 
     /**
      * Reads the snapshot of a head.
      *
      * @param head the head
-     * @return the table of the snapshot, or null if it is gone
+     * @return the table of the snapshot, the empty table if the head refers to none, or null if the
+     *     snapshot is missing
      */
     private Promise<@Nullable OperatorTable> readSnapshot(TableHead head) {
         if (head.snapshotKey().isEmpty()) {
@@ -132,11 +142,11 @@
     }
 
     /**
-     * Reads the table of a snapshot.
+     * Decodes a snapshot.
      *
-     * @param head the head that names the snapshot
-     * @param value the snapshot, or empty if it is gone
-     * @return the table, or null if the snapshot is gone
+     * @param head the head that refers to the snapshot
+     * @param value the snapshot as stored, or empty if it is missing
+     * @return the table, or null if the snapshot is missing
      */
     private static @Nullable OperatorTable snapshotTable(
             TableHead head, Optional<StoredValue> value) {
@@ -149,10 +159,10 @@
     /**
      * Reads and applies the segments in order.
      *
-     * @param table the table so far, or null if a record is gone
+     * @param table the table before the next segment, or null if a record is missing
      * @param segments the segments
-     * @param index the next segment
-     * @return the table after the last segment, or null if a record is gone
+     * @param index the index of the next segment
+     * @return the table after the last segment, or null if a record is missing
      */
     private Promise<@Nullable OperatorTable> readSegments(
             @Nullable OperatorTable table, List<SegmentRange> segments, int index) {
@@ -173,9 +183,9 @@
     /**
      * Applies one segment.
      *
-     * @param table the table before
-     * @param value the segment, or empty if it is gone
-     * @return the table after, or null if the segment is gone
+     * @param table the table before the segment
+     * @param value the segment as stored, or empty if it is missing
+     * @return the table after the segment, or null if the segment is missing
      */
     private static @Nullable OperatorTable applySegment(
             OperatorTable table, Optional<StoredValue> value) {
@@ -185,11 +195,11 @@
     }
 
     /**
-     * Applies the deltas that follow a table.
+     * Applies the deltas that directly follow the version of a table and ignores the others.
      *
      * @param table the table
-     * @param deltas the deltas in order
-     * @return the table after the last delta
+     * @param deltas the deltas in order of version
+     * @return the table after the last delta that could be applied
      */
     private static OperatorTable applyAfter(OperatorTable table, List<TableDelta> deltas) {
         OperatorTable result = table;
@@ -202,11 +212,11 @@
     }
 
     /**
-     * Remembers the table read.
+     * Caches the table and returns it with its head.
      *
      * @param head the head
      * @param value the head as stored
-     * @param table the table
+     * @param table the table of the head
      * @return head and table
      */
     private Promise<LoadedTable> loaded(TableHead head, StoredValue value, OperatorTable table) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
@@ -10,38 +10,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Merges an edit into the table in force by row and cell. Rows keep their order; a new row comes
- * last.
+ * Merges an edit into the current table: a three-way merge by row and cell. Rows keep their order;
+ * new rows are appended at the end.
  */
 final class TableMerge {
 
-    /** The text shown for a row that an operator removed. */
+    /** The text in a conflict for a row that an operator removed. */
     private static final String REMOVED = "removed";
 
-    /** The text shown for a row that an operator kept and changed. */
+    /** The text in a conflict for a row that an operator changed and did not remove. */
     private static final String CHANGED = "changed";
 
-    /** The table from which the operator started. */
+    /** The table that the operator edited, the common ancestor of the other two. */
     private final OperatorTable base;
 
-    /** The table that the operator wants. */
+    /** The base with the operator's changes. */
     private final OperatorTable mine;
 
-    /** The table in force. */
+    /** The current table, which may contain changes made since the base. */
     private final OperatorTable theirs;
 
-    /** The changes to the table in force. */
+    /** The changes that apply the edit to the current table. */
     private final List<RowChange> changes = new ArrayList<>();
 
-    /** The cells changed differently by two operators. */
+    /** The cells to which two operators gave different values. */
     private final List<CellConflict> conflicts = new ArrayList<>();
 
     /**
      * Creates a merge.
      *
-     * @param base the table from which the operator started
-     * @param mine the table that the operator wants
-     * @param theirs the table in force
+     * @param base the table that the operator edited
+     * @param mine the base with the operator's changes
+     * @param theirs the current table
      */
     private TableMerge(OperatorTable base, OperatorTable mine, OperatorTable theirs) {
         this.base = base;
@@ -50,13 +50,15 @@
     }
 
     /**
-     * Merges an edit into the table in force.
+     * Merges an edit into the current table.
      *
      * @param edit the edit
-     * @param theirs the table in force
-     * @return the changes to the table in force; empty if it already holds the edit
-     * @throws org.damasktiller.error.DamasktillerException with code TABLE_CONFLICT if a cell was
-     *     changed differently since the base; the message shows both values of each such cell
+     * @param theirs the current table
+     * @return the changes that apply the edit to the current table; empty if the table already
+     *     contains them
+     * @throws org.damasktiller.error.DamasktillerException with code TABLE_CONFLICT if a cell that
+     *     the edit changes was given another value since the base; the message shows both values of
+     *     each such cell
      */
     static List<RowChange> merge(TableEdit edit, OperatorTable theirs) {
         TableMerge merge = new TableMerge(edit.base(), edit.wanted(), theirs);
@@ -73,7 +75,7 @@
         return merge.changes;
     }
 
-    /** Merges each row of any of the three tables. */
+    /** Merges every row that occurs in any of the three tables. */
     private void run() {
         Set<KindName> kinds = new LinkedHashSet<>();
         theirs.rows().forEach(row -> kinds.add(row.name()));
@@ -92,9 +94,9 @@
      * Merges one row.
      *
      * @param kind the key of the row
-     * @param old the row of the base, or null
-     * @param wanted the row that the operator wants, or null
-     * @param current the row in force, or null
+     * @param old the row in the base, or null if it has none
+     * @param wanted the row in the operator's table, or null if it has none
+     * @param current the row in the current table, or null if it has none
      */
     private void mergeRow(
             KindName kind,
@@ -124,12 +126,12 @@
     }
 
     /**
-     * Merges the cells of a row that both operators changed.
+     * Merges the cells of a row that both operators changed or added.
      *
-     * @param old the row of the base, or null if both added it
-     * @param wanted the row that the operator wants
-     * @param current the row in force
-     * @return the merged row
+     * @param old the row in the base, or null if both operators added the row
+     * @param wanted the row in the operator's table
+     * @param current the row in the current table
+     * @return the merged row; unspecified for a cell for which a conflict was recorded
      */
     private KindOfWork mergeCells(@Nullable KindOfWork old, KindOfWork wanted, KindOfWork current) {
         KindOfWork.Builder builder = KindOfWork.builder(current.name(), current.tenant());
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
@@ -8,30 +8,30 @@
 import org.damasktiller.store.KeyValueStore;
 
 /**
- * Reads and edits the table in the store. Belongs to one reactor thread.
+ * Reads and edits the table in the store. Confined to one reactor thread.
  *
- * <p>Use: {@code put(id, operator, baseVersion, csv)} for {@code table put}, {@code read()} for
- * {@code table get} and {@code history(n)} for {@code table history}. An operator's tool makes the
- * {@link EditId} once for an edit and keeps it over all retries.
+ * <p>The command {@code table put} calls {@link #put}, {@code table get} calls {@link #read} and
+ * {@code table history} calls {@link #history}. A client creates the {@link EditId} once per edit
+ * and uses it for all retries, so that the edit is applied at most once.
  */
 public final class TableRepository {
 
-    /** Reads tables as CSV, with the rules for whole tables. */
+    /** Parses tables in CSV and provides the rules that tables must meet. */
     private final TableReader reader;
 
-    /** The time, in milliseconds since 1970. */
+    /** Returns the current time in milliseconds since 1970. */
     private final LongSupplier clock;
 
-    /** The highest version known to be in force on this VM. */
+    /** Returns the latest version that this VM knows to be committed, or zero if none. */
     private final LongSupplier floorVersion;
 
-    /** Reads the table. */
+    /** Reads the current table. */
     private final TableLoader loader;
 
-    /** Reads older deltas. */
+    /** Reads accepted edits and earlier versions. */
     private final TableHistory history;
 
-    /** Writes the records. */
+    /** Writes records and head. */
     private final RecordWriter writer;
 
     /**
@@ -39,8 +39,9 @@
      *
      * @param store the key-value service
      * @param zones the availability zones that exist, or an empty set to accept any name
-     * @param clock the time, in milliseconds since 1970
-     * @param floorVersion the highest version known to be in force on this VM, zero if none
+     * @param clock returns the current time in milliseconds since 1970
+     * @param floorVersion returns the latest version that this VM knows to be committed, or zero if
+     *     none; edits of a store with an older version are refused
      */
     public TableRepository(
             KeyValueStore store,
@@ -56,7 +57,7 @@
     }
 
     /**
-     * Reads the table in force.
+     * Reads the current table.
      *
      * @return the table; fails with code STORE_UNAVAILABLE if the store does not answer
      */
@@ -68,7 +69,7 @@
      * Reads the table of an earlier version.
      *
      * @param version the version
-     * @return the table; fails with code BAD_REQUEST if the history does not reach back to it
+     * @return the table; fails with code BAD_REQUEST if the history does not contain the version
      */
     public Promise<OperatorTable> readAt(long version) {
         return loader.load().then(loaded -> history.tableAt(loaded, version));
@@ -77,8 +78,8 @@
     /**
      * Lists the latest accepted edits.
      *
-     * @param count how many at most
-     * @return the edits, the latest first
+     * @param count the maximum number of edits
+     * @return the edits, latest first
      */
     public Promise<List<TableDelta>> history(int count) {
         return loader.load()
@@ -87,13 +88,14 @@
     }
 
     /**
-     * Puts a table in place of an earlier version.
+     * Applies the difference between an earlier version and an edited copy of it to the current
+     * table.
      *
-     * @param id the identity of the edit
-     * @param operator the name of the operator
-     * @param baseVersion the version from which the operator started
-     * @param csv the wanted table
-     * @return the answer; fails like {@link #edit} and {@link #readAt}
+     * @param id the ID of the edit, the same for all retries
+     * @param operator the name of the operator, recorded in the history
+     * @param baseVersion the version that the operator edited
+     * @param csv the edited table as CSV in UTF-8
+     * @return the result; fails like {@link TableReader#read}, {@link #readAt} and {@link #edit}
      */
     public Promise<EditResult> put(EditId id, String operator, long baseVersion, byte[] csv) {
         return Attempt.of(() -> Promise.of(reader.read(csv, baseVersion)))
@@ -101,13 +103,13 @@
     }
 
     /**
-     * Merges an edit into the table in force.
+     * Merges an edit into the current table.
      *
      * @param edit the edit
-     * @return the answer, when the change is in the store; fails with code TABLE_CONFLICT that
-     *     shows both values if another operator changed the same cell, BAD_TABLE if the merged
-     *     table is not allowed, or STORE_UNAVAILABLE, whose outcome tells whether the edit may be
-     *     in force
+     * @return the result, once the change is stored; fails with code TABLE_CONFLICT and a message
+     *     with both values if another operator changed the same cell, with BAD_TABLE if the merged
+     *     table is not allowed, or with STORE_UNAVAILABLE, whose outcome shows whether the edit may
+     *     have been applied
      */
     public Promise<EditResult> edit(TableEdit edit) {
         TableEditor editor = new TableEditor(edit, reader.rules(), floorVersion.getAsLong());
@@ -115,10 +117,11 @@
     }
 
     /**
-     * Writes back a table that is in force while the store came back with an older one.
+     * Restores a committed table if the store holds only an older version, for example after it was
+     * restored from a backup.
      *
-     * @param known the table in force
-     * @return whether the store was behind and now holds the table
+     * @param known the latest known table
+     * @return whether the store held an older version and now holds the known table
      */
     public Promise<Boolean> repair(OperatorTable known) {
         return loader.load()
@@ -131,12 +134,12 @@
     }
 
     /**
-     * Reads the base of an edit and merges it.
+     * Reads the base of an edit and merges the edit into the current table.
      *
-     * @param id the identity of the edit
+     * @param id the ID of the edit
      * @param operator the name of the operator
-     * @param wanted the wanted table, with the version of the base
-     * @return the answer
+     * @param wanted the edited table, with the version of the base
+     * @return the result
      */
     private Promise<EditResult> putOver(EditId id, String operator, OperatorTable wanted) {
         return readAt(wanted.version())
--- a/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
@@ -13,42 +13,42 @@
 import org.damasktiller.error.Outcome;
 import org.damasktiller.error.Step;
 
-/** Keeps keys in memory and fails as told. */
+/** An in-memory store whose outages and write faults are set by the test. */
 public final class FakeStore implements KeyValueStore {
 
-    /** What happens to a write of a key. */
+    /** The fault injected into a write of the head. */
     public enum Fault {
-        /** The write and its answer arrive. */
+        /** The write is applied and answered. */
         NONE,
-        /** The write takes effect and its answer is lost. */
+        /** The write is applied but its answer is lost. */
         LOST_ANSWER,
-        /** The write takes effect, its answer is lost and nothing answers any more. */
+        /** The write is applied, its answer is lost and the store is down from then on. */
         LOST_ANSWER_THEN_DOWN,
-        /** The write is lost. */
+        /** The write is lost before it is applied, so there is no answer either. */
         LOST_WRITE,
-        /** The write takes effect after the next write of the key was sent, its answer is lost. */
+        /** The write gets no answer and is applied just before the next write of any key. */
         LATE_WRITE
     }
 
-    /** The keys in order. */
+    /** The stored values in the order of their keys. */
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
 
-    /** What happens to the next writes of the head. */
+    /** The faults of the next writes of the head, in order; no fault once empty. */
     private final Deque<Fault> faults = new ArrayDeque<>();
 
-    /** What to do before the next writes of the head. */
+    /** Actions that run before the next writes of the head, one per write. */
     private final Deque<Runnable> interruptions = new ArrayDeque<>();
 
-    /** Writes that have not arrived yet. */
+    /** Delayed writes that have not been applied yet. */
     private final List<SwapRequest> late = new ArrayList<>();
 
     /** The revision of the latest write. */
     private long revision;
 
-    /** Whether nothing answers. */
+    /** Whether every call fails as unavailable. */
     private boolean down;
 
-    /** The number of calls. */
+    /** The number of calls so far, including failed ones. */
     private int calls;
 
     public void down(boolean value) {
--- a/damasktiller-library/src/test/java/org/damasktiller/table/TableEditPropertyTest.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TableEditPropertyTest.java
@@ -27,7 +27,10 @@
     private static final int KINDS = 3;
     private static final List<Fault> FAULTS = List.of(Fault.values());
 
-    /** Each accepted edit is in the history once; each refused one never, whatever is lost. */
+    /**
+     * Whatever writes and answers are lost, an accepted edit is in the history once and a refused
+     * one never.
+     */
     @Property(tries = 150, seed = "61")
     void testAcceptedEditsTakeEffectOnce(@ForAll long seed) {
         Random random = new Random(seed);
