--- a/damasktiller-library/src/main/java/org/damasktiller/table/CellConflict.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/CellConflict.java
@@ -7,12 +7,12 @@
  *
  * @param kind the key of the row
  * @param column the header of the column, or {@code *} if one of the operators removed the row
- * @param theirs the text of the cell in the current table, or {@code removed} or {@code changed}
- *     for a whole row
- * @param mine the text of the cell in the refused edit, or {@code removed} or {@code changed} for a
- *     whole row
+ * @param currentText the text of the cell in the current table, or {@code removed} or {@code
+ *     changed} for a whole row
+ * @param refusedText the text of the cell in the refused edit, or {@code removed} or {@code
+ *     changed} for a whole row
  */
-public record CellConflict(KindName kind, String column, String theirs, String mine) {
+public record CellConflict(KindName kind, String column, String currentText, String refusedText) {
 
     /** The column of a conflict that concerns the whole row. */
     static final String WHOLE_ROW = "*";
@@ -24,9 +24,9 @@
                 + ", column "
                 + column
                 + ": in force '"
-                + theirs
+                + currentText
                 + "', refused '"
-                + mine
+                + refusedText
                 + "'";
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/CellEdits.java
@@ -43,7 +43,7 @@
                     kind.value(), column, text, "a column of " + TableColumns.headers());
         }
         KindOfWork after = replaceCell(before, column, text);
-        return table.with(table.version(), List.of(new RowChange(kind, before, after)));
+        return table.withChanges(table.version(), List.of(new RowChange(kind, before, after)));
     }
 
     /**
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.damasktiller.store.SwapRequest;
 
-/** The next action that an edit requires, as decided by {@link TableEditor}. */
+/** The next action that an edit requires, as decided by {@link EditStateMachine}. */
 sealed interface EditAction {
 
     /** Requires the table to be read from the store. */
@@ -12,11 +12,11 @@
     /**
      * Requires records to be written.
      *
-     * @param preparations the snapshots and segments that must be stored before the head; one that
+     * @param recordWrites the snapshots and segments that must be stored before the head; one that
      *     already exists with the same bytes need not be written
-     * @param head the compare-and-swap of the head, which commits the new version
+     * @param headWrite the compare-and-swap of the head, which commits the new version
      */
-    record Write(List<SwapRequest> preparations, SwapRequest head) implements EditAction {}
+    record Write(List<SwapRequest> recordWrites, SwapRequest headWrite) implements EditAction {}
 
     /**
      * Completes the edit.
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditRun.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditExecutor.java
@@ -6,10 +6,10 @@
 import org.damasktiller.error.DamasktillerException;
 
 /**
- * Executes one edit: performs the store accesses that its {@link TableEditor} requires and reports
- * their outcome to it.
+ * Executes one edit: performs the store accesses that its {@link EditStateMachine} requires and
+ * reports their outcome to it.
  */
-final class EditRun {
+final class EditExecutor {
 
     /** Reads the current table. */
     private final TableLoader loader;
@@ -27,7 +27,7 @@
     private final TableEdit edit;
 
     /** Decides the next action. */
-    private final TableEditor editor;
+    private final EditStateMachine stateMachine;
 
     /**
      * Creates the execution of one edit.
@@ -37,21 +37,21 @@
      * @param writer writes records and head
      * @param clock returns the current time in milliseconds since 1970
      * @param edit the edit
-     * @param editor decides the next action; must not be shared with another edit
+     * @param stateMachine decides the next action; must not be shared with another edit
      */
-    EditRun(
+    EditExecutor(
             TableLoader loader,
             TableHistory history,
             RecordWriter writer,
             LongSupplier clock,
             TableEdit edit,
-            TableEditor editor) {
+            EditStateMachine stateMachine) {
         this.loader = loader;
         this.history = history;
         this.writer = writer;
         this.clock = clock;
         this.edit = edit;
-        this.editor = editor;
+        this.stateMachine = stateMachine;
     }
 
     /**
@@ -59,29 +59,30 @@
      * action that follows from them. The accepted edits show whether an earlier attempt of this
      * edit has already been applied.
      *
-     * @return the result; fails with the exception of {@link TableEditor#onLoaded}, or with code
-     *     STORE_UNAVAILABLE if the store does not answer
+     * @return the result; fails with the exception of {@link EditStateMachine#onLoaded}, or with
+     *     code STORE_UNAVAILABLE if the store does not answer
      */
-    Promise<EditResult> run() {
+    Promise<EditResult> execute() {
         return loader.load()
                 .then(
                         loaded ->
                                 history.deltasAfter(loaded, edit.base().version())
-                                        .map(deltas -> new Reading(loaded, deltas)))
+                                        .map(deltas -> new StoreState(loaded, deltas)))
                 .mapException(
                         DamasktillerException.class,
-                        e -> editor.unavailable(String.valueOf(e.getMessage())))
-                .then(reading -> Attempt.of(() -> decide(reading)));
+                        e -> stateMachine.storeUnavailable(String.valueOf(e.getMessage())))
+                .then(storeState -> PromiseSuppliers.getOrFail(() -> onStoreRead(storeState)));
     }
 
     /**
      * Passes the state read from the store to the editor and performs the action that it requires.
      *
-     * @param reading the state read from the store
+     * @param storeState the state read from the store
      * @return the result of the edit
      */
-    private Promise<EditResult> decide(Reading reading) {
-        return carryOut(editor.onLoaded(reading.loaded(), reading.deltas(), clock.getAsLong()));
+    private Promise<EditResult> onStoreRead(StoreState storeState) {
+        return perform(
+                stateMachine.onLoaded(storeState.loaded(), storeState.deltas(), clock.getAsLong()));
     }
 
     /**
@@ -90,18 +91,18 @@
      * @param action the action that the editor requires
      * @return the result of the edit
      */
-    private Promise<EditResult> carryOut(EditAction action) {
+    private Promise<EditResult> perform(EditAction action) {
         if (action instanceof EditAction.Done done) {
             return Promise.of(done.result());
         }
         if (action instanceof EditAction.Write write) {
-            return writer.prepare(write)
+            return writer.writeRecords(write)
                     .mapException(
                             DamasktillerException.class,
-                            e -> editor.unavailable(String.valueOf(e.getMessage())))
+                            e -> stateMachine.storeUnavailable(String.valueOf(e.getMessage())))
                     .then(ignored -> writeHead(write));
         }
-        return run();
+        return execute();
     }
 
     /**
@@ -114,7 +115,10 @@
         return writer.writeHead(write)
                 .then(
                         (result, e) ->
-                                carryOut(e == null ? editor.onSwap(result) : editor.onNoAnswer()));
+                                perform(
+                                        e == null
+                                                ? stateMachine.onSwapResult(result)
+                                                : stateMachine.onNoAnswer()));
     }
 
     /**
@@ -123,5 +127,5 @@
      * @param loaded the head and the current table
      * @param deltas the deltas accepted after the base of the edit, latest first
      */
-    private record Reading(LoadedTable loaded, List<TableDelta> deltas) {}
+    private record StoreState(LoadedTable loaded, List<TableDelta> deltas) {}
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditId.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditId.java
@@ -10,11 +10,11 @@
 public record EditId(String value) {
 
     /** The permitted characters and length; the ID becomes part of a key in the store. */
-    private static final Pattern SHAPE = Pattern.compile("[A-Za-z0-9-]{1,64}");
+    private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9-]{1,64}");
 
     /** Checks the characters and the length. */
     public EditId {
-        if (!SHAPE.matcher(value).matches()) {
+        if (!PATTERN.matcher(value).matches()) {
             throw new IllegalArgumentException(
                     "an edit ID must consist of 1 to 64 letters, digits or hyphens");
         }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableEditor.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditStateMachine.java
@@ -9,18 +9,18 @@
 
 /**
  * Decides the actions of one edit, which commits by compare-and-swap of the head. It performs no
- * I/O: {@link EditRun} performs each {@link EditAction} and reports the outcome. After a write
+ * I/O: {@link EditExecutor} performs each {@link EditAction} and reports the outcome. After a write
  * without an answer the table is read again and the edit is recognised by its ID if it was applied.
  * The write is repeated on another revision of the head only if that read shows that the first
  * write was not applied and can no longer be applied.
  */
-final class TableEditor {
+final class EditStateMachine {
 
     /**
      * The maximum number of attempts to commit the edit, each of which starts with a read of the
      * table.
      */
-    static final int MAXIMUM_LOADS = 8;
+    static final int MAXIMUM_ATTEMPTS = 8;
 
     /** The edit. */
     private final TableEdit edit;
@@ -29,31 +29,31 @@
     private final TableRules rules;
 
     /** The latest version known to be committed; a store with an older version has lost writes. */
-    private final long floorVersion;
+    private final long latestKnownVersion;
 
     /** The number of reads of the table so far. */
-    private int loads;
+    private int loadCount;
 
     /** Whether a write that got no answer may have been applied or may still be applied. */
-    private boolean ambiguous;
+    private boolean outcomeUnknown;
 
     /** The revision of the head that the latest write expects. */
-    private long writtenOnRevision;
+    private long expectedHeadRevision;
 
     /** The result of the edit if the latest write is applied. */
-    private EditResult pending = new EditResult(0, List.of());
+    private EditResult pendingResult = new EditResult(0, List.of());
 
     /**
      * Creates an editor for one edit.
      *
      * @param edit the edit
      * @param rules checks the merged table
-     * @param floorVersion the latest version known to be committed, or zero if none is known
+     * @param latestKnownVersion the latest version known to be committed, or zero if none is known
      */
-    TableEditor(TableEdit edit, TableRules rules, long floorVersion) {
+    EditStateMachine(TableEdit edit, TableRules rules, long latestKnownVersion) {
         this.edit = edit;
         this.rules = rules;
-        this.floorVersion = floorVersion;
+        this.latestKnownVersion = latestKnownVersion;
     }
 
     /**
@@ -69,17 +69,17 @@
      *     lost writes or the number of attempts is exhausted
      */
     EditAction onLoaded(LoadedTable loaded, List<TableDelta> deltas, long nowMillis) {
-        loads++;
+        loadCount++;
         for (TableDelta delta : deltas) {
             if (delta.id().equals(edit.id())) {
                 return new EditAction.Done(new EditResult(delta.version(), delta.changes()));
             }
         }
-        if (loaded.revision() != writtenOnRevision) {
-            ambiguous = false;
+        if (loaded.revision() != expectedHeadRevision) {
+            outcomeUnknown = false;
         }
-        checkStore(loaded);
-        return write(loaded, nowMillis);
+        checkStoreAndAttempts(loaded);
+        return planWrite(loaded, nowMillis);
     }
 
     /**
@@ -88,8 +88,8 @@
      * @param result the answer of the store
      * @return the next action
      */
-    EditAction onSwap(SwapResult result) {
-        return result.applied() ? new EditAction.Done(pending) : new EditAction.Load();
+    EditAction onSwapResult(SwapResult result) {
+        return result.applied() ? new EditAction.Done(pendingResult) : new EditAction.Load();
     }
 
     /**
@@ -98,7 +98,7 @@
      * @return the next action
      */
     EditAction onNoAnswer() {
-        ambiguous = true;
+        outcomeUnknown = true;
         return new EditAction.Load();
     }
 
@@ -109,14 +109,14 @@
      * @return the exception; its outcome is OUTCOME_UNKNOWN if a write may have been applied or may
      *     still be applied, else NOT_RUN
      */
-    DamasktillerException unavailable(String reason) {
+    DamasktillerException storeUnavailable(String reason) {
         return new DamasktillerException(
                 ErrorCode.STORE_UNAVAILABLE,
                 Step.COMMIT,
                 "store",
-                ambiguous ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN,
+                outcomeUnknown ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN,
                 reason
-                        + (ambiguous
+                        + (outcomeUnknown
                                 ? "; the edit may have been applied, retry it with the same ID "
                                         + edit.id()
                                 : "; the edit has not been applied"));
@@ -129,18 +129,18 @@
      * @param nowMillis the current time in milliseconds since 1970
      * @return the next action
      */
-    private EditAction write(LoadedTable loaded, long nowMillis) {
+    private EditAction planWrite(LoadedTable loaded, long nowMillis) {
         List<RowChange> changes = TableMerge.merge(edit, loaded.table());
         if (changes.isEmpty()) {
             return new EditAction.Done(new EditResult(loaded.table().version(), List.of()));
         }
         long version = loaded.table().version() + 1;
-        rules.check(loaded.table().with(version, changes).rows());
+        rules.check(loaded.table().withChanges(version, changes).rows());
         TableDelta delta =
                 new TableDelta(version, edit.id(), edit.operator(), nowMillis, true, changes);
-        pending = new EditResult(version, changes);
-        writtenOnRevision = loaded.revision();
-        return HeadPlanner.next(loaded, delta);
+        pendingResult = new EditResult(version, changes);
+        expectedHeadRevision = loaded.revision();
+        return HeadPlanner.planNextVersion(loaded, delta);
     }
 
     /**
@@ -149,17 +149,18 @@
      *
      * @param loaded the current table
      */
-    private void checkStore(LoadedTable loaded) {
-        if (loaded.table().version() < floorVersion) {
-            throw unavailable(
+    private void checkStoreAndAttempts(LoadedTable loaded) {
+        if (loaded.table().version() < latestKnownVersion) {
+            throw storeUnavailable(
                     "the store holds table version "
                             + loaded.table().version()
                             + " although version "
-                            + floorVersion
+                            + latestKnownVersion
                             + " was committed and is being restored");
         }
-        if (loads > MAXIMUM_LOADS) {
-            throw unavailable("the edit could not be confirmed in " + MAXIMUM_LOADS + " attempts");
+        if (loadCount > MAXIMUM_ATTEMPTS) {
+            throw storeUnavailable(
+                    "the edit could not be confirmed in " + MAXIMUM_ATTEMPTS + " attempts");
         }
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
@@ -26,10 +26,10 @@
     static final int MAXIMUM_SEGMENTS = 32;
 
     /** The end of the key of a snapshot of a version that is already committed. */
-    private static final String ACCEPTED = "accepted";
+    private static final String COMMITTED_SUFFIX = "accepted";
 
     /** The end of the key of a snapshot that restores a version the store has lost. */
-    private static final String RESTORED = "restored";
+    private static final String RESTORED_SUFFIX = "restored";
 
     /** Prevents instantiation. */
     private HeadPlanner() {}
@@ -41,13 +41,13 @@
      * @param delta the complete delta that leads to the next version
      * @return the writes
      */
-    static EditAction.Write next(LoadedTable loaded, TableDelta delta) {
-        OperatorTable table = loaded.table().with(delta.version(), delta.changes());
+    static EditAction.Write planNextVersion(LoadedTable loaded, TableDelta delta) {
+        OperatorTable table = loaded.table().withChanges(delta.version(), delta.changes());
         if (TableCodec.encodeDeltas(List.of(delta)).length > MAXIMUM_DELTA_BYTES) {
-            return snapshot(loaded, table, delta.id().value(), List.of(delta.withoutChanges()));
+            return planSnapshot(loaded, table, delta.id().value(), List.of(delta.withoutChanges()));
         }
         TableHead head = loaded.head();
-        List<SwapRequest> preparations = new ArrayList<>();
+        List<SwapRequest> recordWrites = new ArrayList<>();
         List<SegmentRange> segments = new ArrayList<>(head.segments());
         List<TableDelta> tail = new ArrayList<>(head.tail());
         String snapshotKey = head.snapshotKey();
@@ -55,14 +55,14 @@
         byte[] encodedTail = TableCodec.encodeDeltas(tail);
         if (!tail.isEmpty() && encodedTail.length > MAXIMUM_TAIL_BYTES) {
             SegmentRange range = new SegmentRange(tail.get(0).version(), head.version());
-            preparations.add(create(range.key(), encodedTail));
+            recordWrites.add(createRequest(range.key(), encodedTail));
             segments.add(range);
             tail.clear();
         }
         if (segments.size() > MAXIMUM_SEGMENTS) {
-            snapshotKey = TableKeys.snapshot(head.version(), ACCEPTED);
+            snapshotKey = TableKeys.snapshotKey(head.version(), COMMITTED_SUFFIX);
             snapshotVersion = head.version();
-            preparations.add(create(snapshotKey, TableWriter.write(loaded.table())));
+            recordWrites.add(createRequest(snapshotKey, TableWriter.write(loaded.table())));
             segments.clear();
         }
         tail.add(delta);
@@ -74,7 +74,7 @@
                         snapshotVersion,
                         segments,
                         tail);
-        return new EditAction.Write(preparations, swap(loaded.revision(), next));
+        return new EditAction.Write(recordWrites, headRequest(loaded.revision(), next));
     }
 
     /**
@@ -84,8 +84,8 @@
      * @param known the latest known table
      * @return the writes
      */
-    static EditAction.Write restore(LoadedTable loaded, OperatorTable known) {
-        return snapshot(loaded, known, RESTORED, List.of());
+    static EditAction.Write planRestore(LoadedTable loaded, OperatorTable known) {
+        return planSnapshot(loaded, known, RESTORED_SUFFIX, List.of());
     }
 
     /**
@@ -98,20 +98,21 @@
      * @param tail the deltas of the new head, none of them later than the new version
      * @return the writes
      */
-    private static EditAction.Write snapshot(
+    private static EditAction.Write planSnapshot(
             LoadedTable loaded, OperatorTable table, String writer, List<TableDelta> tail) {
-        String key = TableKeys.snapshot(table.version(), writer);
+        String key = TableKeys.snapshotKey(table.version(), writer);
         TableHead next =
                 new TableHead(
                         table.version(), table.digest(), key, table.version(), List.of(), tail);
-        List<SwapRequest> preparations = new ArrayList<>();
-        List<TableDelta> before = loaded.head().tail();
-        if (!before.isEmpty() && loaded.head().version() < table.version()) {
-            SegmentRange range = new SegmentRange(before.get(0).version(), loaded.head().version());
-            preparations.add(create(range.key(), TableCodec.encodeDeltas(before)));
+        List<SwapRequest> recordWrites = new ArrayList<>();
+        List<TableDelta> oldTail = loaded.head().tail();
+        if (!oldTail.isEmpty() && loaded.head().version() < table.version()) {
+            SegmentRange range =
+                    new SegmentRange(oldTail.get(0).version(), loaded.head().version());
+            recordWrites.add(createRequest(range.key(), TableCodec.encodeDeltas(oldTail)));
         }
-        preparations.add(create(key, TableWriter.write(table)));
-        return new EditAction.Write(preparations, swap(loaded.revision(), next));
+        recordWrites.add(createRequest(key, TableWriter.write(table)));
+        return new EditAction.Write(recordWrites, headRequest(loaded.revision(), next));
     }
 
     /**
@@ -121,7 +122,7 @@
      * @param value the encoded record
      * @return the request
      */
-    private static SwapRequest create(String key, byte[] value) {
+    private static SwapRequest createRequest(String key, byte[] value) {
         return new SwapRequest(key, 0, value);
     }
 
@@ -132,7 +133,7 @@
      * @param next the new head
      * @return the request
      */
-    private static SwapRequest swap(long revision, TableHead next) {
+    private static SwapRequest headRequest(long revision, TableHead next) {
         return new SwapRequest(TableKeys.HEAD, revision, TableCodec.encodeHead(next));
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/OperatorTable.java
@@ -26,19 +26,19 @@
     /**
      * The sum of the hashes of the rows; changes update it without hashing the other rows again.
      */
-    private final long rowHashes;
+    private final long rowHashSum;
 
     /**
      * Creates a table.
      *
      * @param version the version, not negative
      * @param rows the rows by kind
-     * @param rowHashes the sum of the hashes of the rows
+     * @param rowHashSum the sum of the hashes of the rows
      */
-    private OperatorTable(long version, ImmutableMap<KindName, KindOfWork> rows, long rowHashes) {
+    private OperatorTable(long version, ImmutableMap<KindName, KindOfWork> rows, long rowHashSum) {
         this.version = version;
         this.rows = rows;
-        this.rowHashes = rowHashes;
+        this.rowHashSum = rowHashSum;
     }
 
     /**
@@ -55,8 +55,8 @@
         }
         ImmutableMap.Builder<KindName, KindOfWork> byName = ImmutableMap.builder();
         rows.forEach(row -> byName.put(row.name(), row));
-        long hashes = rows.stream().mapToLong(OperatorTable::hash).sum();
-        return new OperatorTable(version, byName.buildOrThrow(), hashes);
+        long hashSum = rows.stream().mapToLong(OperatorTable::hashRow).sum();
+        return new OperatorTable(version, byName.buildOrThrow(), hashSum);
     }
 
     /**
@@ -97,7 +97,7 @@
         return Hashing.murmur3_128()
                 .newHasher()
                 .putLong(version)
-                .putLong(rowHashes)
+                .putLong(rowHashSum)
                 .hash()
                 .asLong();
     }
@@ -115,7 +115,7 @@
             throw new IllegalArgumentException(
                     "not the complete delta that follows version " + version);
         }
-        return with(delta.version(), delta.changes());
+        return withChanges(delta.version(), delta.changes());
     }
 
     /**
@@ -126,7 +126,7 @@
      * @return the table of the previous version
      */
     OperatorTable undo(TableDelta delta) {
-        return with(
+        return withChanges(
                 delta.version() - 1,
                 delta.changes().stream()
                         .map(change -> new RowChange(change.kind(), null, change.before()))
@@ -141,19 +141,19 @@
      * @param changes the changes, of which only the rows after the change are used
      * @return the changed table
      */
-    OperatorTable with(long newVersion, List<RowChange> changes) {
+    OperatorTable withChanges(long newVersion, List<RowChange> changes) {
         Map<KindName, KindOfWork> changed = new LinkedHashMap<>(rows);
-        long hashes = rowHashes;
+        long hashSum = rowHashSum;
         for (RowChange change : changes) {
             KindOfWork after = change.after();
             KindOfWork before =
                     after == null
                             ? changed.remove(change.kind())
                             : changed.put(change.kind(), after);
-            hashes -= before == null ? 0 : hash(before);
-            hashes += after == null ? 0 : hash(after);
+            hashSum -= before == null ? 0 : hashRow(before);
+            hashSum += after == null ? 0 : hashRow(after);
         }
-        return new OperatorTable(newVersion, ImmutableMap.copyOf(changed), hashes);
+        return new OperatorTable(newVersion, ImmutableMap.copyOf(changed), hashSum);
     }
 
     /**
@@ -162,7 +162,7 @@
      * @param row the row
      * @return the hash
      */
-    private static long hash(KindOfWork row) {
+    private static long hashRow(KindOfWork row) {
         Hasher hasher = Hashing.murmur3_128().newHasher();
         hasher.putString(row.name().value(), StandardCharsets.UTF_8);
         for (TableColumn<?> column : TableColumns.cells()) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/Attempt.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/PromiseSuppliers.java
@@ -8,10 +8,10 @@
  * Converts exceptions thrown by code that returns a promise into failed promises; the reactor would
  * treat a thrown exception as fatal.
  */
-final class Attempt {
+final class PromiseSuppliers {
 
     /** Prevents instantiation. */
-    private Attempt() {}
+    private PromiseSuppliers() {}
 
     /**
      * Calls a supplier of a promise.
@@ -20,7 +20,7 @@
      * @param <T> the type of the result
      * @return the promise of the supplier, or a promise failed with the exception that it threw
      */
-    static <T> Promise<T> of(Supplier<Promise<T>> supplier) {
+    static <T> Promise<T> getOrFail(Supplier<Promise<T>> supplier) {
         try {
             return supplier.get();
         } catch (DamasktillerException e) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/RecordWriter.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/RecordWriter.java
@@ -17,13 +17,13 @@
 final class RecordWriter {
 
     /** The number of latest segments that are kept for the history. */
-    static final int MAXIMUM_HISTORY_SEGMENTS = 128;
+    static final int RETAINED_HISTORY_SEGMENTS = 128;
 
     /**
      * The number of latest snapshots that are kept, so that a reader that has read the previous
      * head can still read its snapshot.
      */
-    static final int MAXIMUM_SNAPSHOTS = 2;
+    static final int RETAINED_SNAPSHOTS = 2;
 
     /** The key-value service. */
     private final KeyValueStore store;
@@ -44,7 +44,7 @@
      * @return the answer of the store to the write of the head
      */
     Promise<SwapResult> write(EditAction.Write write) {
-        return prepare(write).then(ignored -> writeHead(write));
+        return writeRecords(write).then(ignored -> writeHead(write));
     }
 
     /**
@@ -53,8 +53,8 @@
      * @param write the writes
      * @return a promise that completes when all records are in the store
      */
-    Promise<Void> prepare(EditAction.Write write) {
-        return prepare(write.preparations(), 0);
+    Promise<Void> writeRecords(EditAction.Write write) {
+        return writeRecords(write.recordWrites(), 0);
     }
 
     /**
@@ -65,7 +65,8 @@
      *     deletions
      */
     Promise<SwapResult> writeHead(EditAction.Write write) {
-        return store.compareAndSwap(write.head()).whenResult(result -> trim(write, result));
+        return store.compareAndSwap(write.headWrite())
+                .whenResult(result -> deleteOldRecords(write, result));
     }
 
     /**
@@ -76,14 +77,14 @@
      * @param index the index of the next record to write
      * @return a promise that completes when all records are in the store
      */
-    private Promise<Void> prepare(List<SwapRequest> requests, int index) {
+    private Promise<Void> writeRecords(List<SwapRequest> requests, int index) {
         if (index == requests.size()) {
             return Promise.complete();
         }
         SwapRequest request = requests.get(index);
         return store.compareAndSwap(request)
-                .then(result -> replaceIfOther(request, result.current()))
-                .then(ignored -> prepare(requests, index + 1));
+                .then(result -> replaceIfDifferent(request, result.current()))
+                .then(ignored -> writeRecords(requests, index + 1));
     }
 
     /**
@@ -93,7 +94,7 @@
      * @param current the existing record, or null if the write took effect
      * @return a promise that completes after the replacement, or at once if none is needed
      */
-    private Promise<Void> replaceIfOther(SwapRequest request, @Nullable StoredValue current) {
+    private Promise<Void> replaceIfDifferent(SwapRequest request, @Nullable StoredValue current) {
         if (current == null || Arrays.equals(current.value(), request.value())) {
             return Promise.complete();
         }
@@ -109,26 +110,27 @@
      * @param write the writes of the edit
      * @param result the answer of the store to the write of the head
      */
-    private void trim(EditAction.Write write, SwapResult result) {
-        if (write.preparations().isEmpty() || !result.applied()) {
+    private void deleteOldRecords(EditAction.Write write, SwapResult result) {
+        if (write.recordWrites().isEmpty() || !result.applied()) {
             return;
         }
-        TableHead head = TableCodec.decodeHead(Objects.requireNonNull(write.head().value()));
-        store.list(TableKeys.SEGMENTS)
-                .whenResult(all -> delete(all, MAXIMUM_HISTORY_SEGMENTS, head));
-        store.list(TableKeys.SNAPSHOTS).whenResult(all -> delete(all, MAXIMUM_SNAPSHOTS, head));
+        TableHead head = TableCodec.decodeHead(Objects.requireNonNull(write.headWrite().value()));
+        store.list(TableKeys.SEGMENT_PREFIX)
+                .whenResult(all -> deleteUnneeded(all, RETAINED_HISTORY_SEGMENTS, head));
+        store.list(TableKeys.SNAPSHOT_PREFIX)
+                .whenResult(all -> deleteUnneeded(all, RETAINED_SNAPSHOTS, head));
     }
 
     /**
      * Deletes the oldest records, except for those that the head needs.
      *
      * @param records the segments or the snapshots, oldest first
-     * @param kept the number of latest records to keep
+     * @param retainedCount the number of latest records to keep
      * @param head the current head
      */
-    private void delete(List<StoredValue> records, int kept, TableHead head) {
-        for (StoredValue old : records.subList(0, Math.max(0, records.size() - kept))) {
-            if (TableKeys.version(old.key()) < head.snapshotVersion()) {
+    private void deleteUnneeded(List<StoredValue> records, int retainedCount, TableHead head) {
+        for (StoredValue old : records.subList(0, Math.max(0, records.size() - retainedCount))) {
+            if (TableKeys.versionOf(old.key()) < head.snapshotVersion()) {
                 store.compareAndSwap(new SwapRequest(old.key(), old.revision(), null));
             }
         }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/SegmentRange.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/SegmentRange.java
@@ -14,6 +14,6 @@
      * @return the key in the store
      */
     String key() {
-        return TableKeys.segment(first, last);
+        return TableKeys.segmentKey(first, last);
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableCodec.java
@@ -81,14 +81,14 @@
      * @throws DamasktillerException with code PROTOCOL_ERROR if the bytes do not encode a head
      */
     static TableHead decodeHead(byte[] bytes) {
-        HeadRecord decoded = decode(bytes, HeadRecord.class);
+        HeadRecord stored = decode(bytes, HeadRecord.class);
         return new TableHead(
-                decoded.version(),
-                decoded.digest(),
-                decoded.snapshotKey(),
-                decoded.snapshotVersion(),
-                decoded.segments(),
-                decodeDeltas(decoded.tail()));
+                stored.version(),
+                stored.digest(),
+                stored.snapshotKey(),
+                stored.snapshotVersion(),
+                stored.segments(),
+                decodeDeltas(stored.tail()));
     }
 
     /**
@@ -127,26 +127,26 @@
     /**
      * Converts the stored form of a delta back to the delta.
      *
-     * @param decoded the stored form
+     * @param stored the stored form
      * @return the delta
      */
-    private static TableDelta toDelta(DeltaRecord decoded) {
+    private static TableDelta toDelta(DeltaRecord stored) {
         Map<KindName, KindOfWork> before = new LinkedHashMap<>();
-        readRows(decoded.before()).forEach(row -> before.put(row.name(), row));
+        readRows(stored.before()).forEach(row -> before.put(row.name(), row));
         List<RowChange> changes = new ArrayList<>();
-        for (KindOfWork row : readRows(decoded.after())) {
+        for (KindOfWork row : readRows(stored.after())) {
             changes.add(new RowChange(row.name(), before.get(row.name()), row));
         }
-        for (String kind : decoded.removed()) {
+        for (String kind : stored.removed()) {
             KindName name = new KindName(kind);
             changes.add(new RowChange(name, before.get(name), null));
         }
         return new TableDelta(
-                decoded.version(),
-                new EditId(decoded.id()),
-                decoded.operator(),
-                decoded.acceptedAtMillis(),
-                decoded.complete(),
+                stored.version(),
+                new EditId(stored.id()),
+                stored.operator(),
+                stored.acceptedAtMillis(),
+                stored.complete(),
                 changes);
     }
 
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
@@ -41,12 +41,15 @@
      */
     Promise<List<TableDelta>> deltasAfter(LoadedTable loaded, long version) {
         List<TableDelta> tail = loaded.head().tail();
-        boolean covered = !tail.isEmpty() && tail.get(0).version() <= version + 1;
-        if (covered || version >= loaded.table().version()) {
-            return Promise.of(merge(loaded, List.of(), version));
+        boolean tailCoversRange = !tail.isEmpty() && tail.get(0).version() <= version + 1;
+        if (tailCoversRange || version >= loaded.table().version()) {
+            return Promise.of(mergeDeltas(loaded, List.of(), version));
         }
-        return store.list(TableKeys.SEGMENTS)
-                .then(segments -> Attempt.of(() -> Promise.of(merge(loaded, segments, version))));
+        return store.list(TableKeys.SEGMENT_PREFIX)
+                .then(
+                        segments ->
+                                PromiseSuppliers.getOrFail(
+                                        () -> Promise.of(mergeDeltas(loaded, segments, version))));
     }
 
     /**
@@ -58,7 +61,10 @@
      */
     Promise<OperatorTable> tableAt(LoadedTable loaded, long version) {
         return deltasAfter(loaded, version)
-                .then(deltas -> Attempt.of(() -> Promise.of(undo(loaded, deltas, version))));
+                .then(
+                        deltas ->
+                                PromiseSuppliers.getOrFail(
+                                        () -> Promise.of(undoTo(loaded, deltas, version))));
     }
 
     /**
@@ -71,20 +77,20 @@
      * @param version the version after which deltas are returned
      * @return the deltas, latest first
      */
-    private static List<TableDelta> merge(
+    private static List<TableDelta> mergeDeltas(
             LoadedTable loaded, List<StoredValue> segments, long version) {
-        List<TableDelta> all = new ArrayList<>(loaded.head().tail());
+        List<TableDelta> merged = new ArrayList<>(loaded.head().tail());
         for (StoredValue segment : segments) {
-            all.addAll(TableCodec.decodeDeltas(segment.value()));
+            merged.addAll(TableCodec.decodeDeltas(segment.value()));
         }
         Set<Long> versions = new HashSet<>();
-        all.removeIf(
+        merged.removeIf(
                 delta ->
                         delta.version() <= version
                                 || delta.version() > loaded.table().version()
                                 || !versions.add(delta.version()));
-        all.sort(Comparator.comparingLong(TableDelta::version).reversed());
-        return all;
+        merged.sort(Comparator.comparingLong(TableDelta::version).reversed());
+        return merged;
     }
 
     /**
@@ -96,7 +102,7 @@
      * @return the table of that version
      * @throws DamasktillerException with code BAD_REQUEST if a delta is missing or not complete
      */
-    private static OperatorTable undo(LoadedTable loaded, List<TableDelta> deltas, long version) {
+    private static OperatorTable undoTo(LoadedTable loaded, List<TableDelta> deltas, long version) {
         OperatorTable table = loaded.table();
         for (TableDelta delta : deltas) {
             if (delta.complete() && delta.version() == table.version()) {
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
@@ -12,10 +12,10 @@
     public static final String HEAD = "table/head";
 
     /** The prefix of the keys of snapshots. */
-    static final String SNAPSHOTS = "table/snapshot/";
+    static final String SNAPSHOT_PREFIX = "table/snapshot/";
 
     /** The prefix of the keys of segments. */
-    static final String SEGMENTS = "table/segment/";
+    static final String SEGMENT_PREFIX = "table/segment/";
 
     /** Prevents instantiation. */
     private TableKeys() {}
@@ -27,8 +27,8 @@
      * @param last the version of the last delta
      * @return the key
      */
-    static String segment(long first, long last) {
-        return SEGMENTS + digits(first) + "-" + digits(last);
+    static String segmentKey(long first, long last) {
+        return SEGMENT_PREFIX + formatVersion(first) + "-" + formatVersion(last);
     }
 
     /**
@@ -39,8 +39,8 @@
      *     one of them is accepted
      * @return the key
      */
-    static String snapshot(long version, String writer) {
-        return SNAPSHOTS + digits(version) + "-" + writer;
+    static String snapshotKey(long version, String writer) {
+        return SNAPSHOT_PREFIX + formatVersion(version) + "-" + writer;
     }
 
     /**
@@ -49,11 +49,11 @@
      * @param key the key
      * @return the version of the snapshot, or the last version of the segment
      */
-    static long version(String key) {
+    static long versionOf(String key) {
         String name = key.substring(key.lastIndexOf('/') + 1);
-        String version = name.substring(0, name.indexOf('-'));
-        String rest = name.substring(name.indexOf('-') + 1);
-        return Long.parseLong(key.startsWith(SEGMENTS) ? rest : version);
+        String beforeHyphen = name.substring(0, name.indexOf('-'));
+        String afterHyphen = name.substring(name.indexOf('-') + 1);
+        return Long.parseLong(key.startsWith(SEGMENT_PREFIX) ? afterHyphen : beforeHyphen);
     }
 
     /**
@@ -62,7 +62,7 @@
      * @param version the version
      * @return the version, padded with zeros to twelve digits
      */
-    private static String digits(long version) {
+    private static String formatVersion(long version) {
         return String.format(Locale.ROOT, "%012d", version);
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableLoader.java
@@ -21,7 +21,7 @@
      * How often a read is restarted if a record that the head refers to was deleted or replaced
      * after the head was read.
      */
-    private static final int MAXIMUM_TRIES = 4;
+    private static final int MAXIMUM_RESTARTS = 4;
 
     /** The key-value service. */
     private final KeyValueStore store;
@@ -54,21 +54,22 @@
      *     are inconsistent, or PROTOCOL_ERROR if a record cannot be decoded
      */
     Promise<LoadedTable> load() {
-        return load(MAXIMUM_TRIES);
+        return load(MAXIMUM_RESTARTS);
     }
 
     /**
      * Reads the head and the current table.
      *
-     * @param tries how often the read may be restarted
+     * @param restartsLeft how often the read may be restarted
      * @return both
      */
-    private Promise<LoadedTable> load(int tries) {
+    private Promise<LoadedTable> load(int restartsLeft) {
         return store.get(TableKeys.HEAD)
                 .then(
                         head ->
                                 head.isPresent()
-                                        ? Attempt.of(() -> assemble(head.get(), tries))
+                                        ? PromiseSuppliers.getOrFail(
+                                                () -> assemble(head.get(), restartsLeft))
                                         : Promise.of(LoadedTable.EMPTY));
     }
 
@@ -77,20 +78,20 @@
      * versions since, otherwise from snapshot and segments.
      *
      * @param value the head as stored
-     * @param tries how often the read may be restarted
+     * @param restartsLeft how often the read may be restarted
      * @return head and table
      */
-    private Promise<LoadedTable> assemble(StoredValue value, int tries) {
+    private Promise<LoadedTable> assemble(StoredValue value, int restartsLeft) {
         TableHead head = TableCodec.decodeHead(value.value());
         if (head.tailCovers(cached.version())) {
-            OperatorTable table = applyAfter(cached, head.tail());
+            OperatorTable table = applyFollowingDeltas(cached, head.tail());
             if (table.digest() == head.digest()) {
-                return loaded(head, value, table);
+                return cacheTable(head, value, table);
             }
         }
         return readSnapshot(head)
                 .then(snapshot -> readSegments(snapshot, head.segments(), 0))
-                .then(table -> check(head, value, table, tries));
+                .then(table -> applyTailAndVerify(head, value, table, restartsLeft));
     }
 
     /**
@@ -100,20 +101,20 @@
      * @param head the head
      * @param value the head as stored
      * @param base the table after the last segment, or null if a record is missing
-     * @param tries how often the read may be restarted
+     * @param restartsLeft how often the read may be restarted
      * @return head and table; fails with code STORE_UNAVAILABLE if the check fails and no restart
      *     is left
      */
-    private Promise<LoadedTable> check(
-            TableHead head, StoredValue value, @Nullable OperatorTable base, int tries) {
+    private Promise<LoadedTable> applyTailAndVerify(
+            TableHead head, StoredValue value, @Nullable OperatorTable base, int restartsLeft) {
         if (base != null && head.tailCovers(base.version())) {
-            OperatorTable table = applyAfter(base, head.tail());
+            OperatorTable table = applyFollowingDeltas(base, head.tail());
             if (table.digest() == head.digest()) {
-                return loaded(head, value, table);
+                return cacheTable(head, value, table);
             }
         }
-        if (tries > 0) {
-            return load(tries - 1);
+        if (restartsLeft > 0) {
+            return load(restartsLeft - 1);
         }
         return Promise.ofException(
                 new DamasktillerException(
@@ -138,7 +139,10 @@
             return Promise.of(OperatorTable.EMPTY);
         }
         return store.get(head.snapshotKey())
-                .then(value -> Attempt.of(() -> Promise.of(snapshotTable(head, value))));
+                .then(
+                        value ->
+                                PromiseSuppliers.getOrFail(
+                                        () -> Promise.of(decodeSnapshot(head, value))));
     }
 
     /**
@@ -148,7 +152,7 @@
      * @param value the snapshot as stored, or empty if it is missing
      * @return the table, or null if the snapshot is missing
      */
-    private static @Nullable OperatorTable snapshotTable(
+    private static @Nullable OperatorTable decodeSnapshot(
             TableHead head, Optional<StoredValue> value) {
         return value.isEmpty()
                 ? null
@@ -172,7 +176,7 @@
         return store.get(segments.get(index).key())
                 .then(
                         value ->
-                                Attempt.of(
+                                PromiseSuppliers.getOrFail(
                                         () ->
                                                 readSegments(
                                                         applySegment(table, value),
@@ -191,7 +195,7 @@
             OperatorTable table, Optional<StoredValue> value) {
         return value.isEmpty()
                 ? null
-                : applyAfter(table, TableCodec.decodeDeltas(value.get().value()));
+                : applyFollowingDeltas(table, TableCodec.decodeDeltas(value.get().value()));
     }
 
     /**
@@ -201,7 +205,8 @@
      * @param deltas the deltas in order of version
      * @return the table after the last delta that could be applied
      */
-    private static OperatorTable applyAfter(OperatorTable table, List<TableDelta> deltas) {
+    private static OperatorTable applyFollowingDeltas(
+            OperatorTable table, List<TableDelta> deltas) {
         OperatorTable result = table;
         for (TableDelta delta : deltas) {
             if (delta.version() == result.version() + 1 && delta.complete()) {
@@ -219,7 +224,8 @@
      * @param table the table of the head
      * @return head and table
      */
-    private Promise<LoadedTable> loaded(TableHead head, StoredValue value, OperatorTable table) {
+    private Promise<LoadedTable> cacheTable(
+            TableHead head, StoredValue value, OperatorTable table) {
         cached = table;
         return Promise.of(new LoadedTable(head, value.revision(), table));
     }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
@@ -22,13 +22,13 @@
     private static final String CHANGED = "changed";
 
     /** The table that the operator edited, the common ancestor of the other two. */
-    private final OperatorTable base;
+    private final OperatorTable baseTable;
 
     /** The base with the operator's changes. */
-    private final OperatorTable mine;
+    private final OperatorTable wantedTable;
 
     /** The current table, which may contain changes made since the base. */
-    private final OperatorTable theirs;
+    private final OperatorTable currentTable;
 
     /** The changes that apply the edit to the current table. */
     private final List<RowChange> changes = new ArrayList<>();
@@ -39,30 +39,31 @@
     /**
      * Creates a merge.
      *
-     * @param base the table that the operator edited
-     * @param mine the base with the operator's changes
-     * @param theirs the current table
+     * @param baseTable the table that the operator edited
+     * @param wantedTable the base with the operator's changes
+     * @param currentTable the current table
      */
-    private TableMerge(OperatorTable base, OperatorTable mine, OperatorTable theirs) {
-        this.base = base;
-        this.mine = mine;
-        this.theirs = theirs;
+    private TableMerge(
+            OperatorTable baseTable, OperatorTable wantedTable, OperatorTable currentTable) {
+        this.baseTable = baseTable;
+        this.wantedTable = wantedTable;
+        this.currentTable = currentTable;
     }
 
     /**
      * Merges an edit into the current table.
      *
      * @param edit the edit
-     * @param theirs the current table
+     * @param currentTable the current table
      * @return the changes that apply the edit to the current table; empty if the table already
      *     contains them
      * @throws org.damasktiller.error.DamasktillerException with code TABLE_CONFLICT if a cell that
      *     the edit changes was given another value since the base; the message shows both values of
      *     each such cell
      */
-    static List<RowChange> merge(TableEdit edit, OperatorTable theirs) {
-        TableMerge merge = new TableMerge(edit.base(), edit.wanted(), theirs);
-        merge.run();
+    static List<RowChange> merge(TableEdit edit, OperatorTable currentTable) {
+        TableMerge merge = new TableMerge(edit.base(), edit.wanted(), currentTable);
+        merge.mergeRows();
         if (!merge.conflicts.isEmpty()) {
             throw TableErrors.error(
                     ErrorCode.TABLE_CONFLICT,
@@ -76,17 +77,17 @@
     }
 
     /** Merges every row that occurs in any of the three tables. */
-    private void run() {
+    private void mergeRows() {
         Set<KindName> kinds = new LinkedHashSet<>();
-        theirs.rows().forEach(row -> kinds.add(row.name()));
-        mine.rows().forEach(row -> kinds.add(row.name()));
-        base.rows().forEach(row -> kinds.add(row.name()));
+        currentTable.rows().forEach(row -> kinds.add(row.name()));
+        wantedTable.rows().forEach(row -> kinds.add(row.name()));
+        baseTable.rows().forEach(row -> kinds.add(row.name()));
         for (KindName kind : kinds) {
             mergeRow(
                     kind,
-                    base.row(kind).orElse(null),
-                    mine.row(kind).orElse(null),
-                    theirs.row(kind).orElse(null));
+                    baseTable.row(kind).orElse(null),
+                    wantedTable.row(kind).orElse(null),
+                    currentTable.row(kind).orElse(null));
         }
     }
 
@@ -94,57 +95,59 @@
      * Merges one row.
      *
      * @param kind the key of the row
-     * @param old the row in the base, or null if it has none
-     * @param wanted the row in the operator's table, or null if it has none
-     * @param current the row in the current table, or null if it has none
+     * @param baseRow the row in the base, or null if it has none
+     * @param wantedRow the row in the operator's table, or null if it has none
+     * @param currentRow the row in the current table, or null if it has none
      */
     private void mergeRow(
             KindName kind,
-            @Nullable KindOfWork old,
-            @Nullable KindOfWork wanted,
-            @Nullable KindOfWork current) {
-        if (Objects.equals(wanted, old) || Objects.equals(wanted, current)) {
+            @Nullable KindOfWork baseRow,
+            @Nullable KindOfWork wantedRow,
+            @Nullable KindOfWork currentRow) {
+        if (Objects.equals(wantedRow, baseRow) || Objects.equals(wantedRow, currentRow)) {
             return;
         }
-        if (Objects.equals(current, old)) {
-            changes.add(new RowChange(kind, current, wanted));
+        if (Objects.equals(currentRow, baseRow)) {
+            changes.add(new RowChange(kind, currentRow, wantedRow));
             return;
         }
-        if (wanted == null || current == null) {
+        if (wantedRow == null || currentRow == null) {
             conflicts.add(
                     new CellConflict(
                             kind,
                             CellConflict.WHOLE_ROW,
-                            current == null ? REMOVED : CHANGED,
-                            wanted == null ? REMOVED : CHANGED));
+                            currentRow == null ? REMOVED : CHANGED,
+                            wantedRow == null ? REMOVED : CHANGED));
             return;
         }
-        KindOfWork merged = mergeCells(old, wanted, current);
-        if (!merged.equals(current)) {
-            changes.add(new RowChange(kind, current, merged));
+        KindOfWork merged = mergeCells(baseRow, wantedRow, currentRow);
+        if (!merged.equals(currentRow)) {
+            changes.add(new RowChange(kind, currentRow, merged));
         }
     }
 
     /**
      * Merges the cells of a row that both operators changed or added.
      *
-     * @param old the row in the base, or null if both operators added the row
-     * @param wanted the row in the operator's table
-     * @param current the row in the current table
+     * @param baseRow the row in the base, or null if both operators added the row
+     * @param wantedRow the row in the operator's table
+     * @param currentRow the row in the current table
      * @return the merged row; unspecified for a cell for which a conflict was recorded
      */
-    private KindOfWork mergeCells(@Nullable KindOfWork old, KindOfWork wanted, KindOfWork current) {
-        KindOfWork.Builder builder = KindOfWork.builder(current.name(), current.tenant());
+    private KindOfWork mergeCells(
+            @Nullable KindOfWork baseRow, KindOfWork wantedRow, KindOfWork currentRow) {
+        KindOfWork.Builder builder = KindOfWork.builder(currentRow.name(), currentRow.tenant());
         for (TableColumn<?> column : TableColumns.cells()) {
-            String before = old == null ? null : column.text(old);
-            String mineText = column.text(wanted);
-            String theirText = column.text(current);
-            boolean unchanged = mineText.equals(before);
-            if (!unchanged && !mineText.equals(theirText) && !theirText.equals(before)) {
+            String baseText = baseRow == null ? null : column.text(baseRow);
+            String wantedText = column.text(wantedRow);
+            String currentText = column.text(currentRow);
+            boolean unchanged = wantedText.equals(baseText);
+            if (!unchanged && !wantedText.equals(currentText) && !currentText.equals(baseText)) {
                 conflicts.add(
-                        new CellConflict(current.name(), column.header(), theirText, mineText));
+                        new CellConflict(
+                                currentRow.name(), column.header(), currentText, wantedText));
             }
-            column.apply(builder, unchanged ? theirText : mineText);
+            column.apply(builder, unchanged ? currentText : wantedText);
         }
         return builder.build();
     }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableRepository.java
@@ -23,7 +23,7 @@
     private final LongSupplier clock;
 
     /** Returns the latest version that this VM knows to be committed, or zero if none. */
-    private final LongSupplier floorVersion;
+    private final LongSupplier latestKnownVersion;
 
     /** Reads the current table. */
     private final TableLoader loader;
@@ -40,17 +40,17 @@
      * @param store the key-value service
      * @param zones the availability zones that exist, or an empty set to accept any name
      * @param clock returns the current time in milliseconds since 1970
-     * @param floorVersion returns the latest version that this VM knows to be committed, or zero if
-     *     none; edits of a store with an older version are refused
+     * @param latestKnownVersion returns the latest version that this VM knows to be committed, or
+     *     zero if none; edits of a store with an older version are refused
      */
     public TableRepository(
             KeyValueStore store,
             Set<ZoneName> zones,
             LongSupplier clock,
-            LongSupplier floorVersion) {
+            LongSupplier latestKnownVersion) {
         this.reader = new TableReader(zones);
         this.clock = clock;
-        this.floorVersion = floorVersion;
+        this.latestKnownVersion = latestKnownVersion;
         this.loader = new TableLoader(store);
         this.history = new TableHistory(store);
         this.writer = new RecordWriter(store);
@@ -98,8 +98,8 @@
      * @return the result; fails like {@link TableReader#read}, {@link #readAt} and {@link #edit}
      */
     public Promise<EditResult> put(EditId id, String operator, long baseVersion, byte[] csv) {
-        return Attempt.of(() -> Promise.of(reader.read(csv, baseVersion)))
-                .then(wanted -> putOver(id, operator, wanted));
+        return PromiseSuppliers.getOrFail(() -> Promise.of(reader.read(csv, baseVersion)))
+                .then(wanted -> mergeEditedTable(id, operator, wanted));
     }
 
     /**
@@ -112,8 +112,9 @@
      *     have been applied
      */
     public Promise<EditResult> edit(TableEdit edit) {
-        TableEditor editor = new TableEditor(edit, reader.rules(), floorVersion.getAsLong());
-        return new EditRun(loader, history, writer, clock, edit, editor).run();
+        EditStateMachine stateMachine =
+                new EditStateMachine(edit, reader.rules(), latestKnownVersion.getAsLong());
+        return new EditExecutor(loader, history, writer, clock, edit, stateMachine).execute();
     }
 
     /**
@@ -123,13 +124,13 @@
      * @param known the latest known table
      * @return whether the store held an older version and now holds the known table
      */
-    public Promise<Boolean> repair(OperatorTable known) {
+    public Promise<Boolean> restoreIfOutdated(OperatorTable known) {
         return loader.load()
                 .then(
                         loaded ->
                                 loaded.table().version() >= known.version()
                                         ? Promise.of(false)
-                                        : writer.write(HeadPlanner.restore(loaded, known))
+                                        : writer.write(HeadPlanner.planRestore(loaded, known))
                                                 .map(result -> result.applied()));
     }
 
@@ -141,7 +142,7 @@
      * @param wanted the edited table, with the version of the base
      * @return the result
      */
-    private Promise<EditResult> putOver(EditId id, String operator, OperatorTable wanted) {
+    private Promise<EditResult> mergeEditedTable(EditId id, String operator, OperatorTable wanted) {
         return readAt(wanted.version())
                 .then(base -> edit(new TableEdit(id, operator, base, wanted)));
     }
--- a/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
@@ -34,13 +34,13 @@
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
 
     /** The faults of the next writes of the head, in order; no fault once empty. */
-    private final Deque<Fault> faults = new ArrayDeque<>();
+    private final Deque<Fault> headWriteFaults = new ArrayDeque<>();
 
     /** Actions that run before the next writes of the head, one per write. */
-    private final Deque<Runnable> interruptions = new ArrayDeque<>();
+    private final Deque<Runnable> headWriteHooks = new ArrayDeque<>();
 
     /** Delayed writes that have not been applied yet. */
-    private final List<SwapRequest> late = new ArrayList<>();
+    private final List<SwapRequest> delayedWrites = new ArrayList<>();
 
     /** The revision of the latest write. */
     private long revision;
@@ -49,21 +49,21 @@
     private boolean down;
 
     /** The number of calls so far, including failed ones. */
-    private int calls;
+    private int callCount;
 
-    public void down(boolean value) {
+    public void setDown(boolean value) {
         down = value;
     }
 
     public void faultNextHeadWrites(Fault... next) {
-        faults.addAll(List.of(next));
+        headWriteFaults.addAll(List.of(next));
     }
 
     public void beforeNextHeadWrite(Runnable action) {
-        interruptions.add(action);
+        headWriteHooks.add(action);
     }
 
-    public SortedMap<String, StoredValue> copy() {
+    public SortedMap<String, StoredValue> copyValues() {
         return new TreeMap<>(values);
     }
 
@@ -72,19 +72,19 @@
         values.putAll(older);
     }
 
-    public int calls() {
-        return calls;
+    public int callCount() {
+        return callCount;
     }
 
     @Override
     public Promise<Optional<StoredValue>> get(String key) {
-        calls++;
+        callCount++;
         return down ? unavailable() : Promise.of(Optional.ofNullable(values.get(key)));
     }
 
     @Override
     public Promise<List<StoredValue>> list(String prefix) {
-        calls++;
+        callCount++;
         return down
                 ? unavailable()
                 : Promise.of(
@@ -95,19 +95,19 @@
 
     @Override
     public Promise<SwapResult> compareAndSwap(SwapRequest request) {
-        calls++;
+        callCount++;
         boolean head = request.key().endsWith("/head");
-        if (head && !interruptions.isEmpty()) {
-            interruptions.remove().run();
+        if (head && !headWriteHooks.isEmpty()) {
+            headWriteHooks.remove().run();
         }
         if (down) {
             return unavailable();
         }
-        late.forEach(this::apply);
-        late.clear();
-        Fault fault = head && !faults.isEmpty() ? faults.remove() : Fault.NONE;
+        delayedWrites.forEach(this::apply);
+        delayedWrites.clear();
+        Fault fault = head && !headWriteFaults.isEmpty() ? headWriteFaults.remove() : Fault.NONE;
         if (fault == Fault.LATE_WRITE) {
-            late.add(request);
+            delayedWrites.add(request);
         }
         if (fault == Fault.LOST_ANSWER || fault == Fault.LOST_ANSWER_THEN_DOWN) {
             apply(request);
--- a/damasktiller-library/src/test/java/org/damasktiller/table/TableEditPropertyTest.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TableEditPropertyTest.java
@@ -23,8 +23,8 @@
 
 class TableEditPropertyTest {
 
-    private static final int EDITS = 60;
-    private static final int KINDS = 3;
+    private static final int EDIT_COUNT = 60;
+    private static final int KIND_COUNT = 3;
     private static final List<Fault> FAULTS = List.of(Fault.values());
 
     /**
@@ -39,16 +39,16 @@
         Map<Long, EditId> accepted = new HashMap<>();
         Set<EditId> refused = new HashSet<>();
         List<OperatorTable> bases = new ArrayList<>(List.of(OperatorTable.EMPTY));
-        for (int index = 0; index < EDITS; index++) {
+        for (int index = 0; index < EDIT_COUNT; index++) {
             store.faultNextHeadWrites(FAULTS.get(random.nextInt(FAULTS.size())));
             TableEdit edit = edit("e" + index, bases.get(random.nextInt(bases.size())), random);
             Promise<EditResult> promise = operators.get(random.nextInt(2)).edit(edit);
-            store.down(false);
-            if (unknown(promise)) {
+            store.setDown(false);
+            if (hasUnknownOutcome(promise)) {
                 promise = operators.get(random.nextInt(2)).edit(edit);
-                store.down(false);
+                store.setDown(false);
             }
-            if (unknown(promise)) {
+            if (hasUnknownOutcome(promise)) {
                 continue;
             }
             if (promise.isException()) {
@@ -59,7 +59,7 @@
             bases.add(operators.get(0).read().getResult());
         }
         Map<Long, EditId> history = new HashMap<>();
-        for (TableDelta delta : repository(store).history(EDITS * 2).getResult()) {
+        for (TableDelta delta : repository(store).history(EDIT_COUNT * 2).getResult()) {
             assertThat(history.values(), not(hasItem(delta.id())));
             assertThat(refused, not(hasItem(delta.id())));
             history.put(delta.version(), delta.id());
@@ -68,7 +68,7 @@
         accepted.forEach((version, id) -> assertThat(history.get(version), is(id)));
     }
 
-    private static boolean unknown(Promise<EditResult> promise) {
+    private static boolean hasUnknownOutcome(Promise<EditResult> promise) {
         return promise.isException()
                 && promise.getException() instanceof DamasktillerException error
                 && error.outcome() == Outcome.OUTCOME_UNKNOWN
@@ -77,7 +77,7 @@
 
     private static TableEdit edit(String id, OperatorTable base, Random random) {
         List<KindOfWork> rows = new ArrayList<>();
-        for (int kind = 0; kind < KINDS; kind++) {
+        for (int kind = 0; kind < KIND_COUNT; kind++) {
             rows.add(
                     TestTables.row(
                             "kind-"
--- a/damasktiller-library/src/test/java/org/damasktiller/table/TableMergeTest.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TableMergeTest.java
@@ -17,16 +17,19 @@
 
     @Test
     void testDifferentCellsOfOneRowAreMerged() {
-        OperatorTable theirs = TestTables.table(2, "billing 5 10", "plan 4 20");
-        List<RowChange> changes = merge(TestTables.table(1, "billing 3 11", "plan 4 20"), theirs);
-        assertThat(theirs.with(3, changes), is(TestTables.table(3, "billing 5 11", "plan 4 20")));
+        OperatorTable currentTable = TestTables.table(2, "billing 5 10", "plan 4 20");
+        List<RowChange> changes =
+                merge(TestTables.table(1, "billing 3 11", "plan 4 20"), currentTable);
+        assertThat(
+                currentTable.withChanges(3, changes),
+                is(TestTables.table(3, "billing 5 11", "plan 4 20")));
     }
 
     @Test
     void testSameCellIsRefusedWithBothValues() {
-        OperatorTable theirs = TestTables.table(2, "billing 5 10", "plan 4 20");
+        OperatorTable currentTable = TestTables.table(2, "billing 5 10", "plan 4 20");
         assertThat(
-                conflict(TestTables.table(1, "billing 7 10", "plan 4 20"), theirs),
+                conflict(TestTables.table(1, "billing 7 10", "plan 4 20"), currentTable),
                 containsString("row billing, column weight: in force '5', refused '7'"));
     }
 
@@ -44,25 +47,28 @@
 
     @Test
     void testRowAddedDifferentlyByBothIsRefused() {
-        OperatorTable theirs = TestTables.table(2, "billing 3 10", "plan 4 20", "watch 1 1");
+        OperatorTable currentTable = TestTables.table(2, "billing 3 10", "plan 4 20", "watch 1 1");
         assertThat(
-                conflict(TestTables.table(1, "billing 3 10", "plan 4 20", "watch 2 1"), theirs),
+                conflict(
+                        TestTables.table(1, "billing 3 10", "plan 4 20", "watch 2 1"),
+                        currentTable),
                 containsString("row watch, column weight: in force '1', refused '2'"));
     }
 
     @Test
     void testSameChangeByBothIsNoChange() {
-        OperatorTable theirs = TestTables.table(2, "billing 5 10");
-        assertThat(merge(TestTables.table(1, "billing 5 10"), theirs), empty());
+        OperatorTable currentTable = TestTables.table(2, "billing 5 10");
+        assertThat(merge(TestTables.table(1, "billing 5 10"), currentTable), empty());
     }
 
-    private static List<RowChange> merge(OperatorTable mine, OperatorTable theirs) {
-        return TableMerge.merge(new TableEdit(new EditId("e"), "ana", BASE, mine), theirs);
+    private static List<RowChange> merge(OperatorTable wantedTable, OperatorTable currentTable) {
+        return TableMerge.merge(
+                new TableEdit(new EditId("e"), "ana", BASE, wantedTable), currentTable);
     }
 
-    private static String conflict(OperatorTable mine, OperatorTable theirs) {
+    private static String conflict(OperatorTable wantedTable, OperatorTable currentTable) {
         DamasktillerException error =
-                assertThrows(DamasktillerException.class, () -> merge(mine, theirs));
+                assertThrows(DamasktillerException.class, () -> merge(wantedTable, currentTable));
         assertThat(error.code(), is(ErrorCode.TABLE_CONFLICT));
         return String.valueOf(error.getMessage());
     }
--- a/damasktiller-library/src/test/java/org/damasktiller/table/TableRepositoryTest.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/table/TableRepositoryTest.java
@@ -25,116 +25,118 @@
 class TableRepositoryTest {
 
     private final FakeStore store = new FakeStore();
-    private final AtomicLong floor = new AtomicLong();
-    private final TableRepository first = repository();
-    private final TableRepository second = repository();
+    private final AtomicLong latestKnownVersion = new AtomicLong();
+    private final TableRepository firstOperator = repository();
+    private final TableRepository secondOperator = repository();
 
     @Test
     void testEditIsReadBack() {
-        result(first.edit(edit("a", "billing 3 10")));
-        assertThat(result(second.read()), is(TestTables.table(1, "billing 3 10")));
-        assertThat(result(second.history(10)).get(0).id(), is(new EditId("a")));
+        result(firstOperator.edit(edit("a", "billing 3 10")));
+        assertThat(result(secondOperator.read()), is(TestTables.table(1, "billing 3 10")));
+        assertThat(result(secondOperator.history(10)).get(0).id(), is(new EditId("a")));
     }
 
     @Test
     void testTwoOperatorsAtOnceBothTakeEffect() {
-        result(first.edit(edit("a", "billing 3 10")));
-        OperatorTable base = result(first.read());
-        store.beforeNextHeadWrite(() -> result(second.edit(edit("c", base, "billing 3 11"))));
-        EditResult result = result(first.edit(edit("b", base, "billing 5 10")));
+        result(firstOperator.edit(edit("a", "billing 3 10")));
+        OperatorTable base = result(firstOperator.read());
+        store.beforeNextHeadWrite(
+                () -> result(secondOperator.edit(edit("c", base, "billing 3 11"))));
+        EditResult result = result(firstOperator.edit(edit("b", base, "billing 5 10")));
         assertThat(result.version(), is(3L));
-        assertThat(result(second.read()), is(TestTables.table(3, "billing 5 11")));
+        assertThat(result(secondOperator.read()), is(TestTables.table(3, "billing 5 11")));
     }
 
     @Test
     void testTwoOperatorsOnOneCellConflict() {
-        result(first.edit(edit("a", "billing 3 10")));
-        OperatorTable base = result(first.read());
-        store.beforeNextHeadWrite(() -> result(second.edit(edit("c", base, "billing 6 10"))));
-        DamasktillerException error = error(first.edit(edit("b", base, "billing 5 10")));
+        result(firstOperator.edit(edit("a", "billing 3 10")));
+        OperatorTable base = result(firstOperator.read());
+        store.beforeNextHeadWrite(
+                () -> result(secondOperator.edit(edit("c", base, "billing 6 10"))));
+        DamasktillerException error = error(firstOperator.edit(edit("b", base, "billing 5 10")));
         assertThat(error.code(), is(ErrorCode.TABLE_CONFLICT));
         assertThat(error.getMessage(), containsString("in force '6', refused '5'"));
-        assertThat(result(second.read()), is(TestTables.table(2, "billing 6 10")));
+        assertThat(result(secondOperator.read()), is(TestTables.table(2, "billing 6 10")));
     }
 
     @Test
     void testLostAnswerAfterTheWriteIsReadBack() {
         store.faultNextHeadWrites(Fault.LOST_ANSWER);
-        assertThat(result(first.edit(edit("a", "billing 3 10"))).version(), is(1L));
-        assertThat(result(first.read()).version(), is(1L));
+        assertThat(result(firstOperator.edit(edit("a", "billing 3 10"))).version(), is(1L));
+        assertThat(result(firstOperator.read()).version(), is(1L));
     }
 
     @Test
     void testLostWriteIsRepeated() {
         store.faultNextHeadWrites(Fault.LOST_WRITE);
-        assertThat(result(first.edit(edit("a", "billing 3 10"))).version(), is(1L));
-        assertThat(result(first.read()).version(), is(1L));
+        assertThat(result(firstOperator.edit(edit("a", "billing 3 10"))).version(), is(1L));
+        assertThat(result(firstOperator.read()).version(), is(1L));
     }
 
     @Test
     void testLateWriteTakesEffectOnce() {
         store.faultNextHeadWrites(Fault.LATE_WRITE);
-        assertThat(result(first.edit(edit("a", "billing 3 10"))).version(), is(1L));
-        assertThat(result(first.read()).version(), is(1L));
+        assertThat(result(firstOperator.edit(edit("a", "billing 3 10"))).version(), is(1L));
+        assertThat(result(firstOperator.read()).version(), is(1L));
     }
 
     @Test
     void testOutageAfterTheWriteLeavesOutcomeUnknownAndRetryIsHarmless() {
         store.faultNextHeadWrites(Fault.LOST_ANSWER_THEN_DOWN);
         TableEdit edit = edit("a", "billing 3 10");
-        DamasktillerException error = error(first.edit(edit));
+        DamasktillerException error = error(firstOperator.edit(edit));
         assertThat(error.code(), is(ErrorCode.STORE_UNAVAILABLE));
         assertThat(error.outcome(), is(Outcome.OUTCOME_UNKNOWN));
-        store.down(false);
-        result(second.edit(edit("b", result(second.read()), "billing 4 10")));
-        assertThat(result(first.edit(edit)).version(), is(1L));
-        assertThat(result(first.read()), is(TestTables.table(2, "billing 4 10")));
+        store.setDown(false);
+        result(secondOperator.edit(edit("b", result(secondOperator.read()), "billing 4 10")));
+        assertThat(result(firstOperator.edit(edit)).version(), is(1L));
+        assertThat(result(firstOperator.read()), is(TestTables.table(2, "billing 4 10")));
     }
 
     @Test
     void testOutageBeforeTheReadIsNotRun() {
-        store.down(true);
-        DamasktillerException error = error(first.edit(edit("a", "billing 3 10")));
+        store.setDown(true);
+        DamasktillerException error = error(firstOperator.edit(edit("a", "billing 3 10")));
         assertThat(error.code(), is(ErrorCode.STORE_UNAVAILABLE));
         assertThat(error.outcome(), is(Outcome.NOT_RUN));
     }
 
     @Test
-    void testOutageBetweenReadAndWriteIsNotClaimedToBeNotRun() {
-        store.beforeNextHeadWrite(() -> store.down(true));
+    void testOutageBetweenReadAndWriteLeavesOutcomeUnknown() {
+        store.beforeNextHeadWrite(() -> store.setDown(true));
         TableEdit edit = edit("a", "billing 3 10");
-        assertThat(error(first.edit(edit)).outcome(), is(Outcome.OUTCOME_UNKNOWN));
-        store.down(false);
-        assertThat(result(second.read()).version(), is(0L));
-        assertThat(result(second.edit(edit)).version(), is(1L));
+        assertThat(error(firstOperator.edit(edit)).outcome(), is(Outcome.OUTCOME_UNKNOWN));
+        store.setDown(false);
+        assertThat(result(secondOperator.read()).version(), is(0L));
+        assertThat(result(secondOperator.edit(edit)).version(), is(1L));
     }
 
     @Test
     void testRetryOfAnUndoneEditIsNotAppliedAgain() {
         TableEdit edit = edit("a", OperatorTable.EMPTY, "billing 3 10");
-        result(first.edit(edit));
-        result(second.edit(edit("b", result(second.read()))));
+        result(firstOperator.edit(edit));
+        result(secondOperator.edit(edit("b", result(secondOperator.read()))));
         for (int index = 0; index < 40; index++) {
             addRow(index);
         }
-        assertThat(result(first.edit(edit)).version(), is(1L));
-        assertThat(result(first.read()).version(), is(42L));
+        assertThat(result(firstOperator.edit(edit)).version(), is(1L));
+        assertThat(result(firstOperator.read()).version(), is(42L));
     }
 
     @Test
-    void testStoreThatComesBackOlderIsNotEditedUntilItIsRepaired() {
+    void testOutdatedStoreIsNotEditedUntilItIsRestored() {
         addRow(0);
-        SortedMap<String, StoredValue> backup = store.copy();
+        SortedMap<String, StoredValue> backup = store.copyValues();
         addRow(1);
-        OperatorTable known = result(first.read());
+        OperatorTable known = result(firstOperator.read());
         store.restore(backup);
-        floor.set(known.version());
-        DamasktillerException error = error(second.edit(edit("z", known, "billing 3 10")));
+        latestKnownVersion.set(known.version());
+        DamasktillerException error = error(secondOperator.edit(edit("z", known, "billing 3 10")));
         assertThat(error.code(), is(ErrorCode.STORE_UNAVAILABLE));
         assertThat(error.outcome(), is(Outcome.NOT_RUN));
-        assertThat(result(second.repair(known)), is(true));
-        assertThat(result(first.repair(known)), is(false));
-        assertThat(result(second.read()), is(known));
+        assertThat(result(secondOperator.restoreIfOutdated(known)), is(true));
+        assertThat(result(firstOperator.restoreIfOutdated(known)), is(false));
+        assertThat(result(secondOperator.read()), is(known));
         addRow(2);
         assertThat(result(repository().read()).version(), is(3L));
     }
@@ -143,30 +145,32 @@
     void testMergedTableMustMeetTheRules() {
         KindOfWork large = share("billing", 60);
         KindOfWork other = share("plan", 60);
-        result(first.edit(edit("a", OperatorTable.EMPTY, List.of(large))));
+        result(firstOperator.edit(edit("a", OperatorTable.EMPTY, List.of(large))));
         DamasktillerException error =
-                error(second.edit(edit("b", OperatorTable.EMPTY, List.of(other))));
+                error(secondOperator.edit(edit("b", OperatorTable.EMPTY, List.of(other))));
         assertThat(error.code(), is(ErrorCode.BAD_TABLE));
     }
 
     @Test
     void testRecordsStaySmallAndBounded() {
         for (int index = 0; index < 3000; index++) {
-            OperatorTable base = result(first.read());
-            result(first.edit(edit("e" + index, base, "billing " + (1 + index % 2) + " 7")));
+            OperatorTable base = result(firstOperator.read());
+            result(
+                    firstOperator.edit(
+                            edit("e" + index, base, "billing " + (1 + index % 2) + " 7")));
             assertThat(headBytes(), lessThan(4_000));
         }
         assertThat(
-                store.copy().size(),
+                store.copyValues().size(),
                 lessThanOrEqualTo(
-                        RecordWriter.MAXIMUM_HISTORY_SEGMENTS
+                        RecordWriter.RETAINED_HISTORY_SEGMENTS
                                 + HeadPlanner.MAXIMUM_SEGMENTS
-                                + RecordWriter.MAXIMUM_SNAPSHOTS
+                                + RecordWriter.RETAINED_SNAPSHOTS
                                 + 1));
-        assertThat(result(repository().read()), is(result(first.read())));
-        assertThat(result(first.readAt(2900)).version(), is(2900L));
-        assertThat(error(first.readAt(5)).code(), is(ErrorCode.BAD_REQUEST));
-        assertThat(result(first.history(2000)).size(), greaterThan(1000));
+        assertThat(result(repository().read()), is(result(firstOperator.read())));
+        assertThat(result(firstOperator.readAt(2900)).version(), is(2900L));
+        assertThat(error(firstOperator.readAt(5)).code(), is(ErrorCode.BAD_REQUEST));
+        assertThat(result(firstOperator.history(2000)).size(), greaterThan(1000));
     }
 
     @Test
@@ -176,41 +180,42 @@
                         .mapToObj(index -> TestTables.row("kind-" + index + " 3 " + index))
                         .toList();
         addRow(0);
-        OperatorTable base = result(first.read());
-        result(first.edit(edit("large", base, rows)));
+        OperatorTable base = result(firstOperator.read());
+        result(firstOperator.edit(edit("large", base, rows)));
         assertThat(headBytes(), lessThan(4_000));
-        assertThat(result(second.read()).rows().size(), is(4000));
+        assertThat(result(secondOperator.read()).rows().size(), is(4000));
         addRow(1);
-        assertThat(result(repository().read()), is(result(second.read())));
-        assertThat(error(first.readAt(1)).code(), is(ErrorCode.BAD_REQUEST));
+        assertThat(result(repository().read()), is(result(secondOperator.read())));
+        assertThat(error(firstOperator.readAt(1)).code(), is(ErrorCode.BAD_REQUEST));
     }
 
     @Test
-    void testPutNeedsAVersionThatIsKept() {
-        result(first.put(new EditId("a"), "ana", 0, csv("billing 3 10")));
-        result(first.put(new EditId("b"), "ana", 1, csv("billing 4 10")));
+    void testPutRequiresAVersionInTheHistory() {
+        result(firstOperator.put(new EditId("a"), "ana", 0, csv("billing 3 10")));
+        result(firstOperator.put(new EditId("b"), "ana", 1, csv("billing 4 10")));
         assertThat(
-                result(second.put(new EditId("c"), "ion", 1, csv("billing 3 12"))).version(),
+                result(secondOperator.put(new EditId("c"), "ion", 1, csv("billing 3 12")))
+                        .version(),
                 is(3L));
-        assertThat(result(first.read()), is(TestTables.table(3, "billing 4 12")));
+        assertThat(result(firstOperator.read()), is(TestTables.table(3, "billing 4 12")));
         assertThat(
-                error(first.put(new EditId("d"), "ana", 9, csv("billing 4 10"))).code(),
+                error(firstOperator.put(new EditId("d"), "ana", 9, csv("billing 4 10"))).code(),
                 is(ErrorCode.BAD_REQUEST));
     }
 
     private TableRepository repository() {
-        return new TableRepository(store, Set.of(), () -> 1_000, floor::get);
+        return new TableRepository(store, Set.of(), () -> 1_000, latestKnownVersion::get);
     }
 
     private void addRow(int index) {
-        OperatorTable base = result(second.read());
+        OperatorTable base = result(secondOperator.read());
         List<KindOfWork> rows = new ArrayList<>(base.rows());
         rows.add(TestTables.row("kind-x" + index + " 3 10"));
-        result(second.edit(edit("row-" + index, base, rows)));
+        result(secondOperator.edit(edit("row-" + index, base, rows)));
     }
 
     private int headBytes() {
-        StoredValue head = store.copy().get(TableKeys.HEAD);
+        StoredValue head = store.copyValues().get(TableKeys.HEAD);
         return head == null ? 0 : head.value().length;
     }
 
