--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditAction.java
@@ -6,11 +6,11 @@
 /** The next action that an edit requires, as decided by {@link EditStateMachine}. */
 sealed interface EditAction {
 
-    /** Requires the table to be read from the store. */
+    /** Reads the table from the store. */
     record Load() implements EditAction {}
 
     /**
-     * Requires records to be written.
+     * Writes records and then the head.
      *
      * @param recordWrites the snapshots and segments that must be stored before the head; one that
      *     already exists with the same bytes need not be written
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditExecutor.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditExecutor.java
@@ -75,7 +75,8 @@
     }
 
     /**
-     * Passes the state read from the store to the editor and performs the action that it requires.
+     * Passes the state read from the store to the state machine and performs the action that it
+     * requires.
      *
      * @param storeState the state read from the store
      * @return the result of the edit
@@ -88,7 +89,7 @@
     /**
      * Performs an action and those that follow it.
      *
-     * @param action the action that the editor requires
+     * @param action the action that the state machine requires
      * @return the result of the edit
      */
     private Promise<EditResult> perform(EditAction action) {
@@ -106,7 +107,7 @@
     }
 
     /**
-     * Writes the head and passes the answer, or the fact that none came, to the editor.
+     * Writes the head and passes the answer, or the fact that none came, to the state machine.
      *
      * @param write the write whose records are already in the store
      * @return the result of the edit
--- a/damasktiller-library/src/main/java/org/damasktiller/table/EditStateMachine.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/EditStateMachine.java
@@ -44,7 +44,7 @@
     private EditResult pendingResult = new EditResult(0, List.of());
 
     /**
-     * Creates an editor for one edit.
+     * Creates the state machine of one edit.
      *
      * @param edit the edit
      * @param rules checks the merged table
--- a/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/HeadPlanner.java
@@ -25,10 +25,10 @@
     /** The number of segments above which a snapshot replaces them. */
     static final int MAXIMUM_SEGMENTS = 32;
 
-    /** The end of the key of a snapshot of a version that is already committed. */
+    /** The suffix of the key of a snapshot of a version that is already committed. */
     private static final String COMMITTED_SUFFIX = "accepted";
 
-    /** The end of the key of a snapshot that restores a version the store has lost. */
+    /** The suffix of the key of a snapshot that restores a version the store has lost. */
     private static final String RESTORED_SUFFIX = "restored";
 
     /** Prevents instantiation. */
@@ -93,14 +93,14 @@
      *
      * @param loaded the table in the store
      * @param table the table of the new version
-     * @param writer the end of the key of the snapshot, which tells apart the snapshots that
+     * @param suffix the suffix of the key of the snapshot, which distinguishes the snapshots that
      *     different writers create for one version
      * @param tail the deltas of the new head, none of them later than the new version
      * @return the writes
      */
     private static EditAction.Write planSnapshot(
-            LoadedTable loaded, OperatorTable table, String writer, List<TableDelta> tail) {
-        String key = TableKeys.snapshotKey(table.version(), writer);
+            LoadedTable loaded, OperatorTable table, String suffix, List<TableDelta> tail) {
+        String key = TableKeys.snapshotKey(table.version(), suffix);
         TableHead next =
                 new TableHead(
                         table.version(), table.digest(), key, table.version(), List.of(), tail);
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHead.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHead.java
@@ -35,13 +35,14 @@
     /**
      * Returns whether the deltas of the tail alone lead from a given version to the current one.
      *
-     * @param from the version of the table at hand
+     * @param fromVersion the version of the table at hand
      * @return whether no snapshot and no segment needs to be read
      */
-    boolean tailCovers(long from) {
+    boolean tailCovers(long fromVersion) {
         long first = tail.isEmpty() ? version + 1 : tail.get(0).version();
-        return from <= version
-                && from >= first - 1
-                && tail.stream().allMatch(delta -> delta.version() <= from || delta.complete());
+        return fromVersion <= version
+                && fromVersion >= first - 1
+                && tail.stream()
+                        .allMatch(delta -> delta.version() <= fromVersion || delta.complete());
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Merges the deltas of head and segments. A version found more than once is returned once, the
-     * head first; versions later than the current table, which concurrent edits may have added
-     * since it was read, are left out.
+     * Merges the deltas of head and segments. A version found in several records is returned once,
+     * from the head if it is there. Versions later than the given table, which concurrent edits may
+     * have added since it was read, are left out.
      *
      * @param loaded the current table
      * @param segments the segments as stored
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
@@ -35,12 +35,12 @@
      * Returns the key of a snapshot.
      *
      * @param version the version of the table
-     * @param writer tells apart the snapshots that concurrent edits write for one version before
-     *     one of them is accepted
+     * @param suffix the last part of the key, which distinguishes the snapshots that concurrent
+     *     edits write for one version before one of them is accepted
      * @return the key
      */
-    static String snapshotKey(long version, String writer) {
-        return SNAPSHOT_PREFIX + formatVersion(version) + "-" + writer;
+    static String snapshotKey(long version, String suffix) {
+        return SNAPSHOT_PREFIX + formatVersion(version) + "-" + suffix;
     }
 
     /**
