--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -7,18 +7,18 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.platform.emulator.LoopbackServer;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.emulator.WorkerServlet;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.RunObserver;
+import org.damasktiller.standin.fleet.SimulatedWorker;
 import org.damasktiller.standin.fleet.TaskBehaviour;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /**
  * A deployment on one machine: the store and the workers are emulated in this process, each behind
@@ -30,7 +30,7 @@
     public static final String SERVICE = "workers";
 
     /** Names the keys that the operator and the workers write. */
-    static final PlatformRecords RECORDS = new PlatformRecords();
+    static final JsonPlatformRecordDecoder RECORDS = new JsonPlatformRecordDecoder();
 
     /** How late a late call is carried out, in milliseconds: well after a client gave up. */
     private static final long LATE_MILLIS = 3_000;
@@ -45,7 +45,7 @@
     private final ProcessRuntime runtime;
 
     /** The store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** What becomes of calls to the store. */
     private final SeededFates storeFates;
@@ -79,14 +79,14 @@
             RandomGenerator random) {
         eventloop = loop.eventloop();
         runtime = loop.runtime();
-        store = new StoreModel(runtime);
+        store = new InMemoryStore(runtime);
         storeFates = new SeededFates(random);
         InetSocketAddress storeAddress =
                 LoopbackServer.start(
                         eventloop, new StoreServlet(store, runtime, storeFates, LATE_MILLIS));
         for (int number = 0; number < settings.workers(); number++) {
-            WorkerModel model =
-                    new WorkerModel(
+            SimulatedWorker model =
+                    new SimulatedWorker(
                             String.format("worker-%03d", number),
                             settings.capacity(),
                             runtime,
@@ -137,7 +137,8 @@
         manifestVersion++;
         Manifest next = new Manifest(manifestVersion, routes, base.services(), base.limits());
         store.commit(
-                new StoreTransaction().put(RECORDS.manifestKey(), OperatorFormats.manifest(next)));
+                new StoreTransaction()
+                        .put(RECORDS.manifestKey(), PlatformRecordEncoder.encodeManifest(next)));
     }
 
     /**
@@ -145,7 +146,7 @@
      *
      * @return the store
      */
-    public StoreModel store() {
+    public InMemoryStore store() {
         return store;
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -17,12 +17,12 @@
 final class AdviceTicketProvider {
 
     /**
-     * The most workers in one call; a longer call would use up too much of a submission's
+     * The most workers in one call; a longer call would use up too much of a submission's latency
      * objective.
      */
     private static final int MAX_WORKERS_PER_REQUEST = 30;
 
-    /** The delay before the next call after one that got no answer, in milliseconds. */
+    /** The delay before the next request after one that got no answer, in milliseconds. */
     private static final long RETRY_MILLIS = 150;
 
     /**
@@ -95,18 +95,19 @@
         }
         List<WorkerRecord> candidates = new ArrayList<>();
         for (WorkerRecord worker : context.allWorkers()) {
-            boolean hasCapacity = worker.free().covers(step.spec.reserved());
+            boolean hasCapacity = worker.freeResources().covers(step.spec.reserved());
             boolean ticketMissing =
                     !step.rejectedWorkerIds.contains(worker.id)
                             && usableTicket(step, worker).isEmpty();
-            if (hasCapacity && ticketMissing && worker.usable(now)) {
+            if (hasCapacity && ticketMissing && worker.isUsable(now)) {
                 candidates.add(worker);
             }
         }
         if (candidates.isEmpty()) {
             return;
         }
-        candidates.sort(Comparator.comparingLong(worker -> -worker.free().cpuMillicores()));
+        candidates.sort(
+                Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         List<WorkerRecord> requested =
                 candidates.subList(0, Math.min(MAX_WORKERS_PER_REQUEST, candidates.size()));
         requestInFlight = true;
@@ -157,7 +158,7 @@
             } else {
                 step.ticketsByWorkerId.put(
                         worker.id,
-                        new AdviceTicket(ticket, worker.bornUnixMillis, validUntilMillis));
+                        new AdviceTicket(ticket, worker.bootUnixMillis, validUntilMillis));
             }
         }
         onAnswered.run();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -25,7 +25,7 @@
      */
     private static final int MIN_WORKERS_PER_SUSPECT = 4;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellContext context;
 
     /** Stores the changes of jobs. */
@@ -40,7 +40,7 @@
     /**
      * Creates a tracker for the jobs of a cell.
      *
-     * @param context the state, settings and ports shared by the components of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param commits stores the changes of jobs
      * @param requestSender stops runs
      * @param runTimes learns how long tasks take
@@ -85,7 +85,9 @@
     }
 
     /**
-     * Applies the end of a run that a worker has reported.
+     * Applies the end of a run that a worker has reported. The ends of a task that is already done
+     * are ignored. So are ends other than {@link EndKind#DONE} and {@link EndKind#FAILED} if the
+     * end of the same or a later run has been applied.
      *
      * @param worker the worker
      * @param end the end of the run
@@ -95,7 +97,7 @@
     PendingEnd applyEnd(WorkerRecord worker, EndedRun end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
         if (record != null) {
-            worker.remove(record);
+            worker.removeRun(record);
         }
         Job job = context.jobs.get(end.task().submission());
         TaskRecord task = findTask(end.task());
@@ -103,7 +105,7 @@
             return new PendingEnd(end.sequence(), end.run(), job, job == null ? 0 : job.version);
         }
         boolean relevant =
-                end.run() > task.highestEndedRun
+                end.run() > task.highestEndedRunNumber
                         || end.kind() == EndKind.DONE
                         || end.kind() == EndKind.FAILED;
         if (relevant && !task.done) {
@@ -136,14 +138,14 @@
      * @param reason why the run cannot be active any more, for the log
      */
     void applyLoss(RunRecord record, String reason) {
-        record.worker.remove(record);
+        record.worker.removeRun(record);
         TaskRecord task = record.task;
         context.log.log(
                 "run.lost",
                 "task",
-                record.id,
+                record.taskId,
                 "run",
-                record.run,
+                record.runNumber,
                 "worker",
                 record.worker.id,
                 "reason",
@@ -212,20 +214,20 @@
      * @param end the end of the run
      */
     private void updateTask(TaskRecord task, WorkerRecord worker, EndedRun end) {
-        boolean newest = end.run() >= task.highestEndedRun;
-        task.highestEndedRun = Math.max(task.highestEndedRun, end.run());
-        task.highestRun = Math.max(task.highestRun, end.run());
+        boolean newest = end.run() >= task.highestEndedRunNumber;
+        task.highestEndedRunNumber = Math.max(task.highestEndedRunNumber, end.run());
+        task.highestRunNumber = Math.max(task.highestRunNumber, end.run());
         switch (end.kind()) {
             case DONE -> markDone(task);
             case FAILED -> {
                 if (!task.step.spec.lasting()) {
-                    task.failedRuns.add(end.run());
+                    task.failedRunNumbers.add(end.run());
                 }
                 task.avoidedWorkerIds.add(worker.id);
             }
             default -> {
-                // A run that was ended from outside says nothing about the task; only its
-                // checkpoint is kept.
+                // A run that was stopped, expired or lost its gang says nothing about the task;
+                // only its checkpoint is kept.
             }
         }
         if (newest) {
@@ -237,7 +239,8 @@
     }
 
     /**
-     * Marks a task as done and stops its other runs. A member of a gang completes the whole gang.
+     * Marks a task as done and stops its other runs. A member of a gang that is done completes the
+     * whole gang, whose runs are not stopped here.
      *
      * @param task the task
      */
@@ -295,7 +298,8 @@
     }
 
     /**
-     * Updates the failure record of a worker, and the run times of an image, with the end of a run.
+     * Updates the failure detector of a worker, and the run times of an image, with the end of a
+     * run.
      *
      * @param job the job of the run
      * @param worker the worker that reports the end
@@ -306,7 +310,7 @@
             Job job, WorkerRecord worker, @Nullable RunRecord record, EndedRun end) {
         if (end.kind() == EndKind.DONE) {
             worker.failureDetector.recordSuccess();
-            if (record != null && record.task != null && record.hasFullRunTime()) {
+            if (record != null && record.task != null && record.hasRepresentativeRunTime()) {
                 runTimes.observe(record.task.step.spec, context.now() - record.trackedSinceMillis);
             }
         } else if (end.kind() == EndKind.FAILED) {
@@ -315,9 +319,9 @@
     }
 
     /**
-     * Updates the failure record of a worker with a failed run. The failure does not count against
-     * the worker if the submission has also failed on another worker, or if so many workers are
-     * suspect that the submissions are the likely cause.
+     * Updates the failure detector of a worker with a failed run. The failure does not count
+     * against the worker if the submission has also failed on another worker, or if so many workers
+     * are suspect that the submissions are the likely cause.
      *
      * @param job the job of the run
      * @param worker the worker that ran it
@@ -336,7 +340,12 @@
         if (!failedElsewhere
                 && !tooManySuspects
                 && worker.failureDetector.recordFailure(job.id(), now)) {
-            context.log.log("worker.suspect", "worker", worker.id, "reason", "runs fail in a row");
+            context.log.log(
+                    "worker.suspect",
+                    "worker",
+                    worker.id,
+                    "reason",
+                    "runs of different submissions failed in a row");
         }
     }
 
@@ -386,11 +395,11 @@
      */
     private static boolean hasExhaustedAttempts(StepRecord step, int maxAttempts) {
         if (step.spec.gang()) {
-            int failures = step.tasks.stream().mapToInt(task -> task.failedRuns.size()).sum();
+            int failures = step.tasks.stream().mapToInt(task -> task.failedRunNumbers.size()).sum();
             return !step.isDone() && failures >= maxAttempts;
         }
         return step.tasks.stream()
-                .anyMatch(task -> !task.done && task.failedRuns.size() >= maxAttempts);
+                .anyMatch(task -> !task.done && task.failedRunNumbers.size() >= maxAttempts);
     }
 
     /**
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -5,7 +5,7 @@
 import org.damasktiller.scheduler.port.WorkerStatus;
 
 /**
- * Sends requests to start, stop and throttle runs to workers.
+ * Sends requests to workers: to start, stop and throttle runs.
  *
  * <p>After a start request without an answer, the state of the run is uncertain. It is resolved by
  * an inventory that lists the run, or by an acknowledged request to stop that very run.
@@ -39,7 +39,7 @@
      */
     private static final long INVALID_BACKOFF_MILLIS = 1_000;
 
-    /** The state, settings and ports shared by the components of the cell's owner. */
+    /** The shared state of the cell's owner. */
     private final CellContext context;
 
     /** Called when the waiting tasks or the free resources may have changed. */
@@ -51,7 +51,7 @@
     /**
      * Creates a sender without requests in flight.
      *
-     * @param context the state, settings and ports shared by the components of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param onCapacityChange called when the waiting tasks or the free resources may have changed
      * @param onHigherToken called when a worker has seen a higher fencing token
      */
@@ -66,16 +66,16 @@
      *
      * @param task the task
      * @param worker the worker
-     * @param run the number of the run, higher than those of all earlier runs of the task
+     * @param runNumber the number of the run, higher than those of all earlier runs of the task
      * @param ticket the ticket of the advice service, or an empty string if none is needed
      */
-    void start(TaskRecord task, WorkerRecord worker, int run, String ticket) {
+    void start(TaskRecord task, WorkerRecord worker, int runNumber, String ticket) {
         long now = context.now();
-        task.highestRun = run;
+        task.highestRunNumber = runNumber;
         RunRecord record =
                 new RunRecord(
                         task.id,
-                        run,
+                        runNumber,
                         worker,
                         task,
                         task.step.spec.reserved(),
@@ -83,19 +83,19 @@
                         now);
         record.checkpoint = task.checkpoint;
         record.startCheckpoint = task.checkpoint;
-        worker.add(record);
+        worker.addRun(record);
         long leaseEnd = context.leases.leaseEnd(worker, now);
         context.leases.recordGrant(worker, leaseEnd, now);
-        StartRequest order =
+        StartRequest request =
                 new StartRequest(
                         task.id,
-                        run,
+                        runNumber,
                         task.step.occurrence.job.accepted.submission().payload(),
                         leaseEnd,
                         context.term.generation(),
                         task.checkpoint,
                         ticket);
-        worker.ordersInFlight++;
+        worker.startsInFlight++;
         context.log.log(
                 "run.start",
                 "route",
@@ -103,16 +103,16 @@
                 "task",
                 task.id,
                 "run",
-                run,
+                runNumber,
                 "worker",
                 worker.id,
                 "leaseEnd",
                 leaseEnd,
                 "free",
-                worker.free(),
+                worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        context.calls.start(worker.address(), order, reply -> onStartReply(record, reply));
+        context.workerCalls.start(worker.address(), request, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -123,23 +123,23 @@
      */
     private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
-        worker.ordersInFlight--;
+        worker.startsInFlight--;
         if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.RUNNING;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             }
             return;
         }
         context.log.log(
                 "run.refused",
                 "task",
-                record.id,
+                record.taskId,
                 "run",
-                record.run,
+                record.runNumber,
                 "worker",
                 worker.id,
                 "status",
@@ -151,11 +151,11 @@
                     Math.max(worker.avoidUntilMillis, context.now() + UNANSWERED_BACKOFF_MILLIS);
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.UNCERTAIN;
-                record.firstConclusivePoll = worker.lookNumber + 1;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
             }
             return;
         }
-        worker.remove(record);
+        worker.removeRun(record);
         applyRejection(record, reply.status());
         onCapacityChange.run();
     }
@@ -197,7 +197,13 @@
         if (record.phase != RunPhase.STOPPING) {
             record.phase = RunPhase.STOPPING;
             context.log.log(
-                    "run.stop", "task", record.id, "run", record.run, "worker", record.worker.id);
+                    "run.stop",
+                    "task",
+                    record.taskId,
+                    "run",
+                    record.runNumber,
+                    "worker",
+                    record.worker.id);
         }
         sendStop(record);
     }
@@ -212,10 +218,10 @@
             return;
         }
         record.stopRequestInFlight = true;
-        context.calls.stop(
+        context.workerCalls.stop(
                 record.worker.address(),
-                record.id,
-                record.run,
+                record.taskId,
+                record.runNumber,
                 context.term.generation(),
                 reply -> onStopReply(record, reply));
     }
@@ -234,7 +240,7 @@
         }
         if (reply.status() == WorkerStatus.OK) {
             record.stopAcknowledged = true;
-            record.firstConclusivePoll = worker.lookNumber + 1;
+            record.firstConclusivePoll = worker.lastPollNumber + 1;
             return;
         }
         if (reply.status() == WorkerStatus.FENCED) {
@@ -250,7 +256,7 @@
     }
 
     /**
-     * Sends the wanted CPU limit of a run, unless such a request is in flight.
+     * Sends the wanted CPU limit of a run to its worker, unless such a request is in flight.
      *
      * @param record the run, whose wanted limit differs from the confirmed one or must be sent
      *     again
@@ -263,10 +269,10 @@
         record.cpuLimitSentAtMillis = context.now();
         int wantedPercent = record.wantedCpuLimitPercent;
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
-        context.calls.throttle(
+        context.workerCalls.throttle(
                 record.worker.address(),
-                record.id,
-                record.run,
+                record.taskId,
+                record.runNumber,
                 wantedPercent,
                 context.term.generation(),
                 reply -> {
