--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableHistory.java
@@ -13,7 +13,10 @@
 import org.damasktiller.store.KeyValueStore;
 import org.damasktiller.store.StoredValue;
 
-/** Reads accepted edits and earlier versions from the store. Belongs to one reactor thread. */
+/**
+ * Reads accepted edits and earlier versions of the table from the store. Confined to one reactor
+ * thread.
+ */
 final class TableHistory {
 
     /** The key-value service. */
@@ -29,67 +32,77 @@
     }
 
     /**
-     * Reads the deltas after a version; the segments are read only if the head does not hold them.
+     * Reads the deltas after a version. The segments are read only if the head does not contain all
+     * of these deltas.
      *
-     * @param loaded the table in force
-     * @param version the version
-     * @return the deltas that are kept up to the version in force, the latest first
+     * @param loaded the current table
+     * @param version the version after which deltas are returned
+     * @return the deltas up to the current version, latest first, without those already deleted
      */
     Promise<List<TableDelta>> deltasAfter(LoadedTable loaded, long version) {
         List<TableDelta> tail = loaded.head().tail();
-        boolean covered = !tail.isEmpty() && tail.get(0).version() <= version + 1;
-        if (covered || version >= loaded.table().version()) {
-            return Promise.of(merge(loaded, List.of(), version));
+        boolean tailCoversRange = !tail.isEmpty() && tail.get(0).version() <= version + 1;
+        if (tailCoversRange || version >= loaded.table().version()) {
+            return Promise.of(mergeDeltas(loaded, List.of(), version));
         }
-        return store.list(TableKeys.SEGMENTS)
-                .then(segments -> Attempt.of(() -> Promise.of(merge(loaded, segments, version))));
+        return store.list(TableKeys.SEGMENT_PREFIX)
+                .then(
+                        segments ->
+                                PromiseSuppliers.getOrFail(
+                                        () -> Promise.of(mergeDeltas(loaded, segments, version))));
     }
 
     /**
      * Reads the table of an earlier version.
      *
-     * @param loaded the table in force
+     * @param loaded the current table
      * @param version the version
-     * @return the table; fails with code BAD_REQUEST if the history does not reach back to it
+     * @return the table; fails with code BAD_REQUEST if the history does not contain the version
      */
     Promise<OperatorTable> tableAt(LoadedTable loaded, long version) {
         return deltasAfter(loaded, version)
-                .then(deltas -> Attempt.of(() -> Promise.of(undo(loaded, deltas, version))));
+                .then(
+                        deltas ->
+                                PromiseSuppliers.getOrFail(
+                                        () -> Promise.of(undoTo(loaded, deltas, version))));
     }
 
     /**
-     * Merges the deltas of head and segments.
+     * Merges the deltas of head and segments. A version found in several records is returned once,
+     * from the head if it is there. Versions later than the given table, which concurrent edits may
+     * have added since it was read, are left out.
      *
-     * @param loaded the table in force
-     * @param segments the segments
-     * @param version the version after which deltas are wanted
-     * @return the deltas, the latest first
+     * @param loaded the current table
+     * @param segments the segments as stored
+     * @param version the version after which deltas are returned
+     * @return the deltas, latest first
      */
-    private static List<TableDelta> merge(
+    private static List<TableDelta> mergeDeltas(
             LoadedTable loaded, List<StoredValue> segments, long version) {
-        List<TableDelta> all = new ArrayList<>(loaded.head().tail());
+        List<TableDelta> merged = new ArrayList<>(loaded.head().tail());
         for (StoredValue segment : segments) {
-            all.addAll(TableCodec.decodeDeltas(segment.value()));
+            merged.addAll(TableCodec.decodeDeltas(segment.value()));
         }
         Set<Long> versions = new HashSet<>();
-        all.removeIf(
+        merged.removeIf(
                 delta ->
                         delta.version() <= version
                                 || delta.version() > loaded.table().version()
                                 || !versions.add(delta.version()));
-        all.sort(Comparator.comparingLong(TableDelta::version).reversed());
-        return all;
+        merged.sort(Comparator.comparingLong(TableDelta::version).reversed());
+        return merged;
     }
 
     /**
-     * Undoes edits back to a version.
+     * Reverts edits from the current version back to an earlier one.
      *
-     * @param loaded the table in force
-     * @param deltas the deltas, the latest first
-     * @param version the version
-     * @return the table of the version
+     * @param loaded the current table
+     * @param deltas the deltas after the earlier version, latest first
+     * @param version the earlier version
+     * @return the table of that version
+     * @throws DamasktillerException with code BAD_REQUEST if a delta is missing or not complete
      */
-    private static OperatorTable undo(LoadedTable loaded, List<TableDelta> deltas, long version) {
+    private static OperatorTable undoTo(LoadedTable loaded, List<TableDelta> deltas, long version) {
         OperatorTable table = loaded.table();
         for (TableDelta delta : deltas) {
             if (delta.complete() && delta.version() == table.version()) {
@@ -106,7 +119,7 @@
                 Outcome.NOT_RUN,
                 "table version "
                         + version
-                        + " is not kept; allowed are "
+                        + " is not in the history; available are "
                         + table.version()
                         + " to "
                         + loaded.table().version());
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableKeys.java
@@ -2,63 +2,67 @@
 
 import java.util.Locale;
 
-/** Names the keys of the table in the store. */
+/** Defines the keys under which the records of the table are stored. */
 public final class TableKeys {
 
-    /** The key of the head, which alone decides what is in force; also the prefix to watch. */
+    /**
+     * The key of the head, which alone defines the current version; also the prefix to watch for
+     * changes of the table.
+     */
     public static final String HEAD = "table/head";
 
     /** The prefix of the keys of snapshots. */
-    static final String SNAPSHOTS = "table/snapshot/";
+    static final String SNAPSHOT_PREFIX = "table/snapshot/";
 
     /** The prefix of the keys of segments. */
-    static final String SEGMENTS = "table/segment/";
+    static final String SEGMENT_PREFIX = "table/segment/";
 
     /** Prevents instantiation. */
     private TableKeys() {}
 
     /**
-     * Names a segment of deltas.
+     * Returns the key of a segment.
      *
-     * @param first the first version
-     * @param last the last version
+     * @param first the version of the first delta
+     * @param last the version of the last delta
      * @return the key
      */
-    static String segment(long first, long last) {
-        return SEGMENTS + digits(first) + "-" + digits(last);
+    static String segmentKey(long first, long last) {
+        return SEGMENT_PREFIX + formatVersion(first) + "-" + formatVersion(last);
     }
 
     /**
-     * Names a snapshot.
+     * Returns the key of a snapshot.
      *
      * @param version the version of the table
-     * @param writer who wrote it, since a snapshot may be written before its version is accepted
+     * @param suffix the last part of the key, which distinguishes the snapshots that concurrent
+     *     edits write for one version before one of them is accepted
      * @return the key
      */
-    static String snapshot(long version, String writer) {
-        return SNAPSHOTS + digits(version) + "-" + writer;
+    static String snapshotKey(long version, String suffix) {
+        return SNAPSHOT_PREFIX + formatVersion(version) + "-" + suffix;
     }
 
     /**
-     * Reads the version from the key of a snapshot or segment, the last version for a segment.
+     * Extracts the version from the key of a snapshot or a segment.
      *
      * @param key the key
-     * @return the version
+     * @return the version of the snapshot, or the last version of the segment
      */
-    static long version(String key) {
+    static long versionOf(String key) {
         String name = key.substring(key.lastIndexOf('/') + 1);
-        String version = name.substring(0, name.indexOf('-'));
-        String rest = name.substring(name.indexOf('-') + 1);
-        return Long.parseLong(key.startsWith(SEGMENTS) ? rest : version);
+        String beforeHyphen = name.substring(0, name.indexOf('-'));
+        String afterHyphen = name.substring(name.indexOf('-') + 1);
+        return Long.parseLong(key.startsWith(SEGMENT_PREFIX) ? afterHyphen : beforeHyphen);
     }
 
     /**
-     * Writes a version so that keys sort by it.
+     * Formats a version so that the lexicographic order of the keys is the order of the versions.
      *
      * @param version the version
-     * @return twelve digits
+     * @return the version, padded with zeros to twelve digits
      */
-    private static String digits(long version) {
+    private static String formatVersion(long version) {
         return String.format(Locale.ROOT, "%012d", version);
     }
 }
--- a/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
+++ b/damasktiller-library/src/main/java/org/damasktiller/table/TableMerge.java
@@ -10,57 +10,60 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Merges an edit into the table in force by row and cell. Rows keep their order; a new row comes
- * last.
+ * Merges an edit into the current table: a three-way merge by row and cell. Rows keep their order;
+ * new rows are appended at the end.
  */
 final class TableMerge {
 
-    /** The text shown for a row that an operator removed. */
+    /** The text in a conflict for a row that an operator removed. */
     private static final String REMOVED = "removed";
 
-    /** The text shown for a row that an operator kept and changed. */
+    /** The text in a conflict for a row that an operator changed and did not remove. */
     private static final String CHANGED = "changed";
 
-    /** The table from which the operator started. */
-    private final OperatorTable base;
+    /** The table that the operator edited, the common ancestor of the other two. */
+    private final OperatorTable baseTable;
 
-    /** The table that the operator wants. */
-    private final OperatorTable mine;
+    /** The base with the operator's changes. */
+    private final OperatorTable wantedTable;
 
-    /** The table in force. */
-    private final OperatorTable theirs;
+    /** The current table, which may contain changes made since the base. */
+    private final OperatorTable currentTable;
 
-    /** The changes to the table in force. */
+    /** The changes that apply the edit to the current table. */
     private final List<RowChange> changes = new ArrayList<>();
 
-    /** The cells changed differently by two operators. */
+    /** The cells to which two operators gave different values. */
     private final List<CellConflict> conflicts = new ArrayList<>();
 
     /**
      * Creates a merge.
      *
-     * @param base the table from which the operator started
-     * @param mine the table that the operator wants
-     * @param theirs the table in force
+     * @param baseTable the table that the operator edited
+     * @param wantedTable the base with the operator's changes
+     * @param currentTable the current table
      */
-    private TableMerge(OperatorTable base, OperatorTable mine, OperatorTable theirs) {
-        this.base = base;
-        this.mine = mine;
-        this.theirs = theirs;
+    private TableMerge(
+            OperatorTable baseTable, OperatorTable wantedTable, OperatorTable currentTable) {
+        this.baseTable = baseTable;
+        this.wantedTable = wantedTable;
+        this.currentTable = currentTable;
     }
 
     /**
-     * Merges an edit into the table in force.
+     * Merges an edit into the current table.
      *
      * @param edit the edit
-     * @param theirs the table in force
-     * @return the changes to the table in force; empty if it already holds the edit
-     * @throws org.damasktiller.error.DamasktillerException with code TABLE_CONFLICT if a cell was
-     *     changed differently since the base; the message shows both values of each such cell
+     * @param currentTable the current table
+     * @return the changes that apply the edit to the current table; empty if the table already
+     *     contains them
+     * @throws org.damasktiller.error.DamasktillerException with code TABLE_CONFLICT if a cell that
+     *     the edit changes was given another value since the base; the message shows both values of
+     *     each such cell
      */
-    static List<RowChange> merge(TableEdit edit, OperatorTable theirs) {
-        TableMerge merge = new TableMerge(edit.base(), edit.wanted(), theirs);
-        merge.run();
+    static List<RowChange> merge(TableEdit edit, OperatorTable currentTable) {
+        TableMerge merge = new TableMerge(edit.base(), edit.wanted(), currentTable);
+        merge.mergeRows();
         if (!merge.conflicts.isEmpty()) {
             throw TableErrors.error(
                     ErrorCode.TABLE_CONFLICT,
@@ -73,18 +76,18 @@
         return merge.changes;
     }
 
-    /** Merges each row of any of the three tables. */
-    private void run() {
+    /** Merges every row that occurs in any of the three tables. */
+    private void mergeRows() {
         Set<KindName> kinds = new LinkedHashSet<>();
-        theirs.rows().forEach(row -> kinds.add(row.name()));
-        mine.rows().forEach(row -> kinds.add(row.name()));
-        base.rows().forEach(row -> kinds.add(row.name()));
+        currentTable.rows().forEach(row -> kinds.add(row.name()));
+        wantedTable.rows().forEach(row -> kinds.add(row.name()));
+        baseTable.rows().forEach(row -> kinds.add(row.name()));
         for (KindName kind : kinds) {
             mergeRow(
                     kind,
-                    base.row(kind).orElse(null),
-                    mine.row(kind).orElse(null),
-                    theirs.row(kind).orElse(null));
+                    baseTable.row(kind).orElse(null),
+                    wantedTable.row(kind).orElse(null),
+                    currentTable.row(kind).orElse(null));
         }
     }
 
@@ -92,57 +95,59 @@
      * Merges one row.
      *
      * @param kind the key of the row
-     * @param old the row of the base, or null
-     * @param wanted the row that the operator wants, or null
-     * @param current the row in force, or null
+     * @param baseRow the row in the base, or null if it has none
+     * @param wantedRow the row in the operator's table, or null if it has none
+     * @param currentRow the row in the current table, or null if it has none
      */
     private void mergeRow(
             KindName kind,
-            @Nullable KindOfWork old,
-            @Nullable KindOfWork wanted,
-            @Nullable KindOfWork current) {
-        if (Objects.equals(wanted, old) || Objects.equals(wanted, current)) {
+            @Nullable KindOfWork baseRow,
+            @Nullable KindOfWork wantedRow,
+            @Nullable KindOfWork currentRow) {
+        if (Objects.equals(wantedRow, baseRow) || Objects.equals(wantedRow, currentRow)) {
             return;
         }
-        if (Objects.equals(current, old)) {
-            changes.add(new RowChange(kind, current, wanted));
+        if (Objects.equals(currentRow, baseRow)) {
+            changes.add(new RowChange(kind, currentRow, wantedRow));
             return;
         }
-        if (wanted == null || current == null) {
+        if (wantedRow == null || currentRow == null) {
             conflicts.add(
                     new CellConflict(
                             kind,
                             CellConflict.WHOLE_ROW,
-                            current == null ? REMOVED : CHANGED,
-                            wanted == null ? REMOVED : CHANGED));
+                            currentRow == null ? REMOVED : CHANGED,
+                            wantedRow == null ? REMOVED : CHANGED));
             return;
         }
-        KindOfWork merged = mergeCells(old, wanted, current);
-        if (!merged.equals(current)) {
-            changes.add(new RowChange(kind, current, merged));
+        KindOfWork merged = mergeCells(baseRow, wantedRow, currentRow);
+        if (!merged.equals(currentRow)) {
+            changes.add(new RowChange(kind, currentRow, merged));
         }
     }
 
     /**
-     * Merges the cells of a row that both operators changed.
+     * Merges the cells of a row that both operators changed or added.
      *
-     * @param old the row of the base, or null if both added it
-     * @param wanted the row that the operator wants
-     * @param current the row in force
-     * @return the merged row
+     * @param baseRow the row in the base, or null if both operators added the row
+     * @param wantedRow the row in the operator's table
+     * @param currentRow the row in the current table
+     * @return the merged row; unspecified for a cell for which a conflict was recorded
      */
-    private KindOfWork mergeCells(@Nullable KindOfWork old, KindOfWork wanted, KindOfWork current) {
-        KindOfWork.Builder builder = KindOfWork.builder(current.name(), current.tenant());
+    private KindOfWork mergeCells(
+            @Nullable KindOfWork baseRow, KindOfWork wantedRow, KindOfWork currentRow) {
+        KindOfWork.Builder builder = KindOfWork.builder(currentRow.name(), currentRow.tenant());
         for (TableColumn<?> column : TableColumns.valueColumns()) {
-            String before = old == null ? null : column.text(old);
-            String mineText = column.text(wanted);
-            String theirText = column.text(current);
-            boolean unchanged = mineText.equals(before);
-            if (!unchanged && !mineText.equals(theirText) && !theirText.equals(before)) {
+            String baseText = baseRow == null ? null : column.text(baseRow);
+            String wantedText = column.text(wantedRow);
+            String currentText = column.text(currentRow);
+            boolean unchanged = wantedText.equals(baseText);
+            if (!unchanged && !wantedText.equals(currentText) && !currentText.equals(baseText)) {
                 conflicts.add(
-                        new CellConflict(current.name(), column.header(), theirText, mineText));
+                        new CellConflict(
+                                currentRow.name(), column.header(), currentText, wantedText));
             }
-            column.apply(builder, unchanged ? theirText : mineText);
+            column.apply(builder, unchanged ? currentText : wantedText);
         }
         return builder.build();
     }
--- a/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
+++ b/damasktiller-library/src/test/java/org/damasktiller/store/FakeStore.java
@@ -13,57 +13,57 @@
 import org.damasktiller.error.Operation;
 import org.damasktiller.error.Outcome;
 
-/** Keeps keys in memory and fails as told. */
+/** An in-memory store whose outages and write faults are set by the test. */
 public final class FakeStore implements KeyValueStore {
 
-    /** What happens to a write of a key. */
+    /** The fault injected into a write of the head. */
     public enum Fault {
-        /** The write and its answer arrive. */
+        /** The write is applied and answered. */
         NONE,
-        /** The write takes effect and its answer is lost. */
+        /** The write is applied but its answer is lost. */
         LOST_ANSWER,
-        /** The write takes effect, its answer is lost and nothing answers any more. */
+        /** The write is applied, its answer is lost and the store is down from then on. */
         LOST_ANSWER_THEN_DOWN,
-        /** The write is lost. */
+        /** The write is lost before it is applied, so there is no answer either. */
         LOST_WRITE,
-        /** The write takes effect after the next write of the key was sent, its answer is lost. */
+        /** The write gets no answer and is applied just before the next write of any key. */
         LATE_WRITE
     }
 
-    /** The keys in order. */
+    /** The stored values in the order of their keys. */
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
 
-    /** What happens to the next writes of the head. */
-    private final Deque<Fault> faults = new ArrayDeque<>();
+    /** The faults of the next writes of the head, in order; no fault once empty. */
+    private final Deque<Fault> headWriteFaults = new ArrayDeque<>();
 
-    /** What to do before the next writes of the head. */
-    private final Deque<Runnable> interruptions = new ArrayDeque<>();
+    /** Actions that run before the next writes of the head, one per write. */
+    private final Deque<Runnable> headWriteHooks = new ArrayDeque<>();
 
-    /** Writes that have not arrived yet. */
-    private final List<SwapRequest> late = new ArrayList<>();
+    /** Delayed writes that have not been applied yet. */
+    private final List<SwapRequest> delayedWrites = new ArrayList<>();
 
     /** The revision of the latest write. */
     private long revision;
 
-    /** Whether nothing answers. */
+    /** Whether every call fails as unavailable. */
     private boolean down;
 
-    /** The number of calls. */
-    private int calls;
+    /** The number of calls so far, including failed ones. */
+    private int callCount;
 
-    public void down(boolean value) {
+    public void setDown(boolean value) {
         down = value;
     }
 
     public void faultNextHeadWrites(Fault... next) {
-        faults.addAll(List.of(next));
+        headWriteFaults.addAll(List.of(next));
     }
 
     public void beforeNextHeadWrite(Runnable action) {
-        interruptions.add(action);
+        headWriteHooks.add(action);
     }
 
-    public SortedMap<String, StoredValue> copy() {
+    public SortedMap<String, StoredValue> copyValues() {
         return new TreeMap<>(values);
     }
 
@@ -72,19 +72,19 @@
         values.putAll(older);
     }
 
-    public int calls() {
-        return calls;
+    public int callCount() {
+        return callCount;
     }
 
     @Override
     public Promise<Optional<StoredValue>> get(String key) {
-        calls++;
+        callCount++;
         return down ? unavailable() : Promise.of(Optional.ofNullable(values.get(key)));
     }
 
     @Override
     public Promise<List<StoredValue>> list(String prefix) {
-        calls++;
+        callCount++;
         return down
                 ? unavailable()
                 : Promise.of(
@@ -95,19 +95,19 @@
 
     @Override
     public Promise<SwapResult> compareAndSwap(SwapRequest request) {
-        calls++;
+        callCount++;
         boolean head = request.key().endsWith("/head");
-        if (head && !interruptions.isEmpty()) {
-            interruptions.remove().run();
+        if (head && !headWriteHooks.isEmpty()) {
+            headWriteHooks.remove().run();
         }
         if (down) {
             return unavailable();
         }
-        late.forEach(this::apply);
-        late.clear();
-        Fault fault = head && !faults.isEmpty() ? faults.remove() : Fault.NONE;
+        delayedWrites.forEach(this::apply);
+        delayedWrites.clear();
+        Fault fault = head && !headWriteFaults.isEmpty() ? headWriteFaults.remove() : Fault.NONE;
         if (fault == Fault.LATE_WRITE) {
-            late.add(request);
+            delayedWrites.add(request);
         }
         if (fault == Fault.LOST_ANSWER || fault == Fault.LOST_ANSWER_THEN_DOWN) {
             apply(request);
