--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
@@ -16,7 +16,7 @@
     private final CallerSimulator callers;
 
     /** The runs on the simulated workers. */
-    private final RunInvariantChecker audit;
+    private final RunInvariantChecker runChecker;
 
     /** The tasks that callers have submitted. */
     private final SubmittedTaskBehaviour taskBehaviour;
@@ -25,15 +25,15 @@
      * Creates a checker.
      *
      * @param callers the callers and their submissions
-     * @param audit the runs on the simulated workers
+     * @param runChecker the runs on the simulated workers
      * @param taskBehaviour the tasks that callers have submitted
      */
     public GuaranteeChecker(
             CallerSimulator callers,
-            RunInvariantChecker audit,
+            RunInvariantChecker runChecker,
             SubmittedTaskBehaviour taskBehaviour) {
         this.callers = callers;
-        this.audit = audit;
+        this.runChecker = runChecker;
         this.taskBehaviour = taskBehaviour;
     }
 
@@ -43,7 +43,7 @@
      * @return one line per violation
      */
     public List<String> violations() {
-        List<String> found = new ArrayList<>(audit.violations());
+        List<String> found = new ArrayList<>(runChecker.violations());
         found.addAll(callers.violations());
         taskBehaviour
                 .unsubmittedTasks()
@@ -58,7 +58,7 @@
             }
             int attempts = tracked.route().maximumAttempts();
             if (tracked.state() == SubmissionState.FAILED
-                    && audit.maximumFailures(tasksOf(tracked)) < attempts) {
+                    && runChecker.maximumFailures(tasksOf(tracked)) < attempts) {
                 found.add(id + ": reported as failed before its attempts were used up");
             }
             if (tracked.state() == SubmissionState.CANCELLED && !tracked.isCancelRequested()) {
@@ -119,7 +119,7 @@
      * @return the number of starts
      */
     private int countStarts(TrackedSubmission tracked) {
-        return tasksOf(tracked).stream().mapToInt(audit::startCount).sum();
+        return tasksOf(tracked).stream().mapToInt(runChecker::startCount).sum();
     }
 
     /**
@@ -129,7 +129,7 @@
      * @return the number of active runs
      */
     private int countActiveRuns(TrackedSubmission tracked) {
-        return tasksOf(tracked).stream().mapToInt(audit::activeRunCount).sum();
+        return tasksOf(tracked).stream().mapToInt(runChecker::activeRunCount).sum();
     }
 
     /**
@@ -139,6 +139,6 @@
      * @return whether all tasks are done
      */
     private boolean areAllTasksDone(TrackedSubmission tracked) {
-        return audit.succeededTasks().containsAll(tasksOf(tracked));
+        return runChecker.succeededTasks().containsAll(tasksOf(tracked));
     }
 }
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/load/GuaranteeCheckerTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/load/GuaranteeCheckerTest.java
@@ -34,7 +34,7 @@
     private static final Route ROUTE =
             new Route("batch", "team.example", "/batch/", "workers", 1, 3, 2, 600, false);
 
-    private final RunInvariantChecker audit = new RunInvariantChecker(3);
+    private final RunInvariantChecker runChecker = new RunInvariantChecker(3);
 
     private final Eventloop eventloop = EventLoops.create();
 
@@ -49,14 +49,15 @@
                     new Well19937c(1),
                     taskBehaviour);
 
-    private final GuaranteeChecker checker = new GuaranteeChecker(callers, audit, taskBehaviour);
+    private final GuaranteeChecker checker =
+            new GuaranteeChecker(callers, runChecker, taskBehaviour);
 
     @Test
     void reportsNothingForSuccessfulWork() {
         TrackedSubmission tracked = send(false);
         tracked.markAccepted();
-        audit.started("w0", TASK, 1);
-        audit.ended("w0", TASK, 1, EndKind.DONE);
+        runChecker.started("w0", TASK, 1);
+        runChecker.ended("w0", TASK, 1, EndKind.DONE);
         tracked.updateState(SubmissionState.SUCCEEDED);
         assertThat(checker.violations(), empty());
         assertThat(checker.unfinished(), empty());
@@ -64,24 +65,24 @@
 
     @Test
     void findsConcurrentRunsOfATask() {
-        audit.started("w0", TASK, 1);
-        audit.started("w1", TASK, 2);
+        runChecker.started("w0", TASK, 1);
+        runChecker.started("w1", TASK, 2);
         assertThat(checker.violations(), contains(containsString("two runs")));
     }
 
     @Test
     void findsAStartAfterAnAcknowledgedEnd() {
-        audit.started("w0", TASK, 1);
-        audit.ended("w0", TASK, 1, EndKind.DONE);
-        audit.acknowledged("w0", TASK, 1, EndKind.DONE);
-        audit.started("w1", TASK, 2);
+        runChecker.started("w0", TASK, 1);
+        runChecker.ended("w0", TASK, 1, EndKind.DONE);
+        runChecker.acknowledged("w0", TASK, 1, EndKind.DONE);
+        runChecker.started("w1", TASK, 2);
         assertThat(checker.violations(), contains(containsString("after its end")));
     }
 
     @Test
     void findsAStartOfARefusedSubmission() {
         send(false).markGivenUp();
-        audit.started("w0", TASK, 1);
+        runChecker.started("w0", TASK, 1);
         assertThat(checker.violations(), contains(containsString("each try was refused")));
     }
 
@@ -109,7 +110,7 @@
         tracked.markAccepted();
         assertThat(checker.unfinished(), contains(containsString("not finished")));
         tracked.markCancelRequested();
-        audit.started("w0", TASK, 1);
+        runChecker.started("w0", TASK, 1);
         assertThat(checker.unfinished(), contains(containsString("after its cancelling")));
     }
 
@@ -118,7 +119,7 @@
         TrackedSubmission tracked = send(true);
         tracked.markAccepted();
         assertThat(checker.unfinished(), contains(containsString("not at work")));
-        audit.started("w0", TASK, 1);
+        runChecker.started("w0", TASK, 1);
         assertThat(checker.unfinished(), empty());
     }
 
