--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerSimulator.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/CallerSimulator.java
@@ -151,8 +151,7 @@
                         case UNKNOWN_SUBMISSION ->
                                 violations.add(
                                         tracked.submission().id()
-                                                + ": submit request answered with 410 (unknown"
-                                                + " submission)");
+                                                + ": submit request answered with 410 Gone");
                         default -> {
                             if (outcome == CallOutcome.NO_ANSWER) {
                                 tracked.markUnanswered();
