--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/link/FaultyLink.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/link/FaultyLink.java
@@ -12,40 +12,41 @@
 import java.util.List;
 
 /**
- * A proxy in front of one server. Its state holds for all connections, also for those that are
- * open. Used on its reactor's thread.
+ * A TCP proxy that injects network faults between clients and one server. A change of its state
+ * affects new connections as well as open ones. Not thread-safe: all methods must be called on the
+ * reactor's thread.
  */
 public final class FaultyLink {
 
-    /** The time between two looks of bytes that are held back, in milliseconds. */
+    /** The interval at which held bytes are checked for release, in milliseconds. */
     private static final long POLL_MILLIS = 20;
 
-    /** The reactor. */
+    /** The event loop that performs the I/O and runs the timers. */
     private final NioReactor reactor;
 
-    /** The address of the server. */
+    /** The address of the server to which connections are forwarded. */
     private final InetSocketAddress target;
 
-    /** Accepts connections. */
+    /** Accepts the connections of clients. */
     private final SimpleServer listener;
 
-    /** The open connections. */
+    /** The open connections that the link forwards. */
     private final List<Crossing> crossings = new ArrayList<>();
 
-    /** What the link does. */
+    /** How the link forwards bytes. */
     private LinkState state = LinkState.OPEN;
 
-    /** The delay of a slow link, in milliseconds. */
+    /** The delay of each chunk of bytes while the state is SLOW, in milliseconds. */
     private long delayMillis;
 
-    /** Whether new connections are reset. */
+    /** Whether new connections are closed immediately. */
     private boolean refusing;
 
     /**
-     * Creates a link on a free port.
+     * Creates a link that listens on a free loopback port.
      *
-     * @param reactor the reactor
-     * @param target the address of the server
+     * @param reactor the event loop that performs the I/O and runs the timers
+     * @param target the address of the server to which connections are forwarded
      */
     public FaultyLink(NioReactor reactor, InetSocketAddress target) {
         this.reactor = reactor;
@@ -63,39 +64,43 @@
     }
 
     /**
-     * Returns where the link listens.
+     * Returns the address on which the link listens.
      *
-     * @return the address
+     * @return the loopback address that clients connect to
      */
     public InetSocketAddress address() {
         return listener.getBoundAddresses().get(0);
     }
 
     /**
-     * Changes what the link does.
+     * Changes how the link forwards bytes, also on open connections.
      *
-     * @param next the state
-     * @param nextDelayMillis the delay of a slow link, in milliseconds
+     * @param next the new state
+     * @param nextDelayMillis the delay of each chunk of bytes while the state is SLOW, in
+     *     milliseconds; unused in other states
      */
     public void set(LinkState next, long nextDelayMillis) {
         state = next;
         delayMillis = nextDelayMillis;
     }
 
-    /** Resets the open connections. */
+    /** Closes both sides of all open connections. New connections still work. */
     public void reset() {
         new ArrayList<>(crossings).forEach(Crossing::close);
     }
 
-    /** Makes the open connections go silent for good; new ones work. */
+    /**
+     * Stalls the open connections permanently: they stay open but forward no more bytes. New
+     * connections still work.
+     */
     public void silence() {
         crossings.forEach(crossing -> crossing.silent = true);
     }
 
     /**
-     * Begins or ends to reset new connections.
+     * Sets whether new connections are refused. Refusing also closes the open connections.
      *
-     * @param value whether to
+     * @param value true to refuse new connections, false to accept them again
      */
     public void refuse(boolean value) {
         refusing = value;
@@ -105,9 +110,10 @@
     }
 
     /**
-     * Takes a connection.
+     * Forwards a new connection to the server, or closes it if connections are refused or the
+     * server cannot be reached.
      *
-     * @param client the client's side
+     * @param client the socket of the client
      */
     private void accept(ITcpSocket client) {
         if (refusing) {
@@ -119,40 +125,40 @@
                 .whenException(exception -> client.close());
     }
 
-    /** One connection through the link. */
+    /** A connection between a client and the server that the link forwards. */
     private final class Crossing {
 
-        /** The client's side. */
+        /** The socket of the client. */
         private final ITcpSocket client;
 
-        /** The server's side. */
+        /** The socket of the server. */
         private final ITcpSocket server;
 
-        /** Whether it has gone silent for good. */
+        /** Whether the connection is stalled permanently. */
         private boolean silent;
 
-        /** Whether it is closed. */
+        /** Whether both sockets have been closed. */
         private boolean closed;
 
         /**
-         * Creates a connection.
+         * Creates a connection that does not forward bytes yet.
          *
-         * @param client the client's side
-         * @param server the server's side
+         * @param client the socket of the client
+         * @param server the socket of the server
          */
         Crossing(ITcpSocket client, ITcpSocket server) {
             this.client = client;
             this.server = server;
         }
 
-        /** Begins to pass bytes on. */
+        /** Starts to forward bytes in both directions. */
         void start() {
             crossings.add(this);
             pump(client, server, LinkState.REQUESTS_HELD);
             pump(server, client, LinkState.ANSWERS_HELD);
         }
 
-        /** Closes both sides. */
+        /** Closes both sockets. Repeated calls have no effect. */
         void close() {
             if (!closed) {
                 closed = true;
@@ -163,11 +169,12 @@
         }
 
         /**
-         * Passes on what one side sends.
+         * Forwards the bytes of one direction until the sender closes the connection or an error
+         * occurs.
          *
-         * @param from the side that sends
-         * @param to the other side
-         * @param holding the state that holds this direction back
+         * @param from the socket to read from
+         * @param to the socket to write to
+         * @param holding the state that holds the bytes of this direction
          */
         private void pump(ITcpSocket from, ITcpSocket to, LinkState holding) {
             from.read()
@@ -187,10 +194,11 @@
         }
 
         /**
-         * Does something once the link lets bytes pass.
+         * Runs an action once this direction is not held, after the delay of a slow link. A closed
+         * connection drops the action.
          *
-         * @param holding the state that holds this direction back
-         * @param action what to do
+         * @param holding the state that holds the bytes of this direction
+         * @param action the action that forwards bytes or the end of the stream
          */
         private void pass(LinkState holding, Runnable action) {
             if (closed) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/link/LinkState.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/link/LinkState.java
@@ -1,15 +1,15 @@
 package org.damasktiller.lab.link;
 
-/** What a link does with the bytes that cross it. */
+/** How a link forwards bytes. The constants appear by name in the soak report. */
 public enum LinkState {
-    /** Passes them on at once. */
+    /** Forwards bytes in both directions immediately. */
     OPEN,
-    /** Passes them on after a delay. */
+    /** Forwards bytes in both directions after a delay. */
     SLOW,
-    /** Holds back what the client sends until the link is open again. */
+    /** Holds the client's bytes until the state changes; forwards the server's bytes. */
     REQUESTS_HELD,
-    /** Holds back what the server sends until the link is open again. */
+    /** Holds the server's bytes until the state changes; forwards the client's bytes. */
     ANSWERS_HELD,
-    /** Holds back both until the link is open again. */
+    /** Holds the bytes of both directions until the state changes. */
     HELD
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/link/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/link/package-info.java
@@ -1,4 +1,7 @@
-/** A loopback proxy that delays, holds back, silences and resets connections. */
+/**
+ * A loopback TCP proxy that injects network faults: delayed, held, stalled, closed and refused
+ * connections.
+ */
 @NullMarked
 package org.damasktiller.lab.link;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -32,64 +32,68 @@
 import org.damasktiller.table.OperatorTable;
 
 /**
- * Runs a deployment on this machine with a short mixed load from the rows of a table, puts a newer
- * manifest in force, drains an entry VM, and accounts for every accepted submission.
+ * Runs a deployment on the local machine under a short load that is generated from the rows of an
+ * operators' table. Halfway through the load it publishes a newer manifest and drains an entry VM.
+ * At the end it verifies that every accepted submission has finished and that the scheduler's
+ * guarantees held.
  */
 public final class LocalRun {
 
-    /** The number of submissions of each row. */
+    /** The number of submissions that are sent for each row. */
     private static final int PER_ROW = 20;
 
-    /** The longest task of the load, in milliseconds. */
+    /** The maximum estimated duration of a task of the load, in milliseconds. */
     private static final long LONGEST_TASK_MILLIS = 300;
 
-    /** How long a caller waits for an answer, in milliseconds. */
+    /** The timeout of a caller's request, in milliseconds. */
     private static final long CALL_MILLIS = 5_000;
 
-    /** The time between two lines of progress, in milliseconds. */
+    /** The interval between two lines of progress, in milliseconds. */
     private static final long PROGRESS_MILLIS = 1_000;
 
-    /** The longest time for the open work to finish after the load, in milliseconds. */
+    /**
+     * The maximum time that unfinished submissions get after the load has ended, in milliseconds.
+     */
     private static final long FINISH_MILLIS = 60_000;
 
     /** The number of milliseconds in a second. */
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** The deployment. */
+    /** The deployment whose zones and workers are run. */
     private final Deployment deployment;
 
-    /** The table. */
+    /** The table from whose rows the manifest and the load are generated. */
     private final OperatorTable table;
 
-    /** How long the load lasts, in milliseconds. */
+    /** The duration of the load, in milliseconds. */
     private final long loadMillis;
 
-    /** Where progress and results go. */
+    /** The stream to which progress and results are printed. */
     private final PrintStream output;
 
-    /** The loop. */
+    /** The event loop of the emulated services and the callers. */
     private final LabLoop loop;
 
-    /** What the workers ran. */
+    /** Records the runs of the workers and detects violations. */
     private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
 
-    /** What callers have submitted. */
+    /** The submissions that callers have sent; determines the behaviour of their tasks. */
     private final SubmittedWork work;
 
-    /** The deployment while it runs. */
+    /** The emulated services and the processes of the entry VMs. */
     private final Rig rig;
 
-    /** The callers. */
+    /** Sends the submissions and tracks their states. */
     private final CallerLoad load;
 
     /**
-     * Creates a run.
+     * Creates a run with its emulated services. The processes of the entry VMs are not started yet.
      *
-     * @param deployment the deployment
-     * @param table the table
+     * @param deployment the deployment whose zones and workers are run
+     * @param table the table from whose rows the manifest and the load are generated
      * @param entryVms the number of entry VMs
-     * @param seconds how long the load lasts, in seconds
-     * @param output where progress and results go
+     * @param seconds the duration of the load, in seconds
+     * @param output the stream to which progress and results are printed
      */
     public LocalRun(
             Deployment deployment,
@@ -122,9 +126,9 @@
     }
 
     /**
-     * Runs.
+     * Runs the load, prints the results and kills the processes of the entry VMs.
      *
-     * @return whether every accepted submission is accounted for and nothing ran twice
+     * @return true if every submission reached a final state in time and no violation was found
      */
     public boolean run() {
         try (loop) {
@@ -140,9 +144,11 @@
     }
 
     /**
-     * Starts the deployment and the load.
+     * Starts the deployment and schedules the load, the changes halfway through it and the reports
+     * of progress.
      *
-     * @param finished takes whether all work finished
+     * @param finished completed with true once all submissions are settled, with false after the
+     *     timeout
      */
     private void begin(CompletableFuture<Boolean> finished) {
         Manifest manifest = TableManifest.of(table, Rig.SERVICE, 1);
@@ -162,7 +168,7 @@
         awaitFinish(finished, loop.runtime().nowMillis());
     }
 
-    /** Puts a newer manifest in force and drains the last entry VM. */
+    /** Publishes a newer manifest and drains the last entry VM. */
     private void change() {
         Manifest manifest = TableManifest.of(table, Rig.SERVICE, 2);
         rig.manifest(manifest, manifest.routes());
@@ -172,10 +178,11 @@
     }
 
     /**
-     * Shows progress until all work has finished.
+     * Prints the progress repeatedly until all submissions are settled or the time is up.
      *
-     * @param finished takes whether it has
-     * @param beganMillis when the load began, in milliseconds
+     * @param finished completed with true once all submissions are settled, with false after the
+     *     timeout
+     * @param beganMillis when the load began on the monotonic clock, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
         long open = load.items().stream().filter(item -> !item.settled()).count();
@@ -190,10 +197,10 @@
     }
 
     /**
-     * Prints what each row got and checks the promises.
+     * Prints the results of each row and the violations of the scheduler's guarantees.
      *
-     * @param finished whether all work finished
-     * @return whether all promises were kept
+     * @param finished whether all submissions were settled in time
+     * @return true if all submissions were settled and no violation was found
      */
     private boolean report(boolean finished) {
         output.printf("%-20s %8s %9s %8s%n", "kind", "accepted", "succeeded", "refused");
@@ -224,9 +231,9 @@
     }
 
     /**
-     * Makes a submission of a row: one task of the row's size.
+     * Creates a submission with a single task that needs the resources declared in the row.
      *
-     * @param row the row
+     * @param row the row of the table
      * @return the submission
      */
     private Submission submission(KindOfWork row) {
@@ -244,9 +251,9 @@
     }
 
     /**
-     * Makes a directory for settings and logs.
+     * Creates a directory for the settings and logs of the entry VMs.
      *
-     * @return its path
+     * @return the path of the directory
      */
     private static Path temporaryDirectory() {
         try {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/package-info.java
@@ -1,4 +1,7 @@
-/** The main job on one machine: a mixed load from the rows of a table. */
+/**
+ * A run of a deployment on the local machine, with a load generated from the rows of an operators'
+ * table.
+ */
 @NullMarked
 package org.damasktiller.lab.local;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Deployment.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Deployment.java
@@ -5,9 +5,12 @@
 import org.damasktiller.identity.ZoneName;
 import org.damasktiller.scheduler.model.Resources;
 
-/** Describes the two deployments of today. */
+/**
+ * The production deployments, with the availability zones and the workers that a local run
+ * emulates.
+ */
 public enum Deployment {
-    /** Merged dispatch in Leinster and Connacht. */
+    /** Runs merged dispatch in the regions Leinster and Connacht. */
     CORRIB(
             45,
             64_000,
@@ -16,7 +19,7 @@
                     "leinster-1", "leinster",
                     "leinster-2", "leinster",
                     "connacht-1", "connacht")),
-    /** Shaking-table reduction in Muntenia and Banat. */
+    /** Runs shaking-table reduction in the regions Muntenia and Banat. */
     CARPATICA(
             33,
             16_000,
@@ -26,25 +29,25 @@
                     "muntenia-2", "muntenia",
                     "banat-1", "banat"));
 
-    /** The number of workers. */
+    /** The number of workers in all zones together. */
     private final int workers;
 
-    /** The thousandths of a processor of each worker. */
+    /** The processor capacity of each worker, in thousandths of a processor. */
     private final long milliProcessors;
 
-    /** The memory of each worker, in megabytes. */
+    /** The memory capacity of each worker, in megabytes. */
     private final long memoryMegabytes;
 
-    /** The name of the region of each availability zone. */
+    /** The names of the regions by the names of their availability zones. */
     private final ImmutableMap<String, String> zones;
 
     /**
      * Creates a deployment.
      *
-     * @param workers the number of workers
-     * @param milliProcessors the thousandths of a processor of each worker
-     * @param memoryMegabytes the memory of each worker, in megabytes
-     * @param zones the name of the region of each availability zone
+     * @param workers the number of workers in all zones together
+     * @param milliProcessors the processor capacity of each worker, in thousandths of a processor
+     * @param memoryMegabytes the memory capacity of each worker, in megabytes
+     * @param zones the names of the regions by the names of their availability zones
      */
     Deployment(
             int workers,
@@ -58,9 +61,10 @@
     }
 
     /**
-     * Returns the availability zones with their regions, in order.
+     * Returns the availability zones with their regions, in the order in which workers are assigned
+     * to them.
      *
-     * @return the region of each zone
+     * @return the regions by zone
      */
     public ImmutableMap<ZoneName, RegionName> zones() {
         ImmutableMap.Builder<ZoneName, RegionName> result = ImmutableMap.builder();
@@ -69,9 +73,10 @@
     }
 
     /**
-     * Returns the names of the availability zones with those of their regions, in order.
+     * Returns the names of the availability zones and of their regions, in the order in which
+     * workers are assigned to them.
      *
-     * @return the region of each zone
+     * @return the regions by zone
      */
     public ImmutableMap<String, String> zoneNames() {
         return zones;
@@ -87,9 +92,9 @@
     }
 
     /**
-     * Returns what each worker has.
+     * Returns the capacity of each worker, without accelerators.
      *
-     * @return the amounts
+     * @return the resources
      */
     public Resources capacity() {
         return new Resources(milliProcessors, memoryMegabytes, 0);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
@@ -15,42 +15,42 @@
 import org.damasktiller.platform.emulator.OperatorFormats;
 import org.jspecify.annotations.Nullable;
 
-/** The program of one entry VM, run as a process of its own. */
+/** Starts, signals and restarts the process that runs the program of one entry VM. */
 public final class EntryProcess {
 
-    /** The options of the Java machine, the same as in the deploy file. */
+    /** The JVM options, identical to those in the deployment file {@code deploy/system.toml}. */
     private static final List<String> JAVA_OPTIONS =
             List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-    /** The signals that tell a program to end. */
+    /** The signals that terminate the process. */
     private static final Set<String> ENDING = Set.of("KILL", "TERM");
 
-    /** The name of the VM. */
+    /** The name of the entry VM. */
     private final String name;
 
-    /** The settings file. */
+    /** The file from which the program reads its settings. */
     private final Path settings;
 
-    /** Where the process writes its log. */
+    /** The file to which the standard output and error of the process are appended. */
     private final Path log;
 
-    /** Where it listens for callers. */
+    /** The address on which the program listens for callers. */
     private final InetSocketAddress callers;
 
-    /** The process, null before the first start. */
+    /** The process that was started last, null before the first start. */
     private @Nullable Process process;
 
-    /** Whether the program was told to end. */
+    /** Whether the process was requested to terminate since its last start. */
     private boolean toldToEnd;
 
     /**
-     * Creates a VM whose program is not started yet.
+     * Writes the settings file of an entry VM. The process is not started yet.
      *
-     * @param name its name
-     * @param zone its availability zone
-     * @param zones the region of each availability zone
-     * @param store the address of the store
-     * @param directory where settings and logs go
+     * @param name the name of the entry VM
+     * @param zone the availability zone of the entry VM
+     * @param zones the regions by availability zone
+     * @param store the address at which the program connects to the store
+     * @param directory the existing directory for the settings and the log
      */
     public EntryProcess(
             String name,
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Returns the name of the VM.
+     * Returns the name of the entry VM.
      *
      * @return the name
      */
@@ -81,16 +81,16 @@
     }
 
     /**
-     * Returns where it listens for callers.
+     * Returns the address on which the program listens for callers.
      *
-     * @return the address
+     * @return the loopback address
      */
     public InetSocketAddress callers() {
         return callers;
     }
 
     /**
-     * Returns where the program writes its log.
+     * Returns the file to which the standard output and error of the process are appended.
      *
      * @return the path
      */
@@ -98,7 +98,7 @@
         return log;
     }
 
-    /** Starts the program. */
+    /** Starts a new process with the settings of the entry VM. */
     public void start() {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -123,9 +123,9 @@
     }
 
     /**
-     * Tells whether the program runs.
+     * Returns whether the process is running.
      *
-     * @return whether it does
+     * @return true if it is, false if it was never started or has ended
      */
     public boolean alive() {
         Process present = process;
@@ -133,9 +133,9 @@
     }
 
     /**
-     * Returns how the program ended.
+     * Returns the exit code of the process.
      *
-     * @return the exit code, or -1 if it has not ended
+     * @return the exit code, or -1 if the process is running or was never started
      */
     public int exitCode() {
         Process present = process;
@@ -143,18 +143,19 @@
     }
 
     /**
-     * Tells whether the program was told to end, so that its end is no fault of its own.
+     * Returns whether the process was requested to terminate since its last start. If it was not,
+     * its end is a failure of the program.
      *
-     * @return whether it was
+     * @return true if it was killed or sent a terminating signal
      */
     public boolean toldToEnd() {
         return toldToEnd;
     }
 
     /**
-     * Sends a signal to the program.
+     * Sends a signal to the process. Has no effect if the process is not running.
      *
-     * @param signal the name of the signal
+     * @param signal the name of the signal without the prefix SIG, such as {@code TERM}
      */
     public void signal(String signal) {
         Process present = process;
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Kills the program. */
+    /** Kills the process. Has no effect if it was never started. */
     public void kill() {
         Process present = process;
         if (present != null) {
@@ -179,9 +180,10 @@
     }
 
     /**
-     * Finds a port that is free now.
+     * Finds a loopback port that is free at the moment of the call; another process may take it
+     * later.
      *
-     * @return its address
+     * @return the loopback address with the port
      */
     private static InetSocketAddress freeAddress() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabLoop.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabLoop.java
@@ -9,20 +9,22 @@
 import org.damasktiller.platform.http.EventLoops;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
-/** The event loop on which a deployment and its callers run, with a clock and timers. */
+/**
+ * Owns the event loop that runs the emulated services and the callers, with its clock and timers.
+ */
 public final class LabLoop implements AutoCloseable {
 
     /** The event loop. */
     private final Eventloop eventloop;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
     /**
-     * Starts a loop.
+     * Starts an event loop on a daemon thread.
      *
-     * @param name the name of its thread
-     * @param faults takes a line for each unchecked error of an action
+     * @param name the name of the thread
+     * @param faults receives a line for each unchecked exception of a scheduled action
      */
     public LabLoop(String name, Consumer<String> faults) {
         eventloop = EventLoops.start(name);
@@ -34,7 +36,7 @@
     }
 
     /**
-     * Returns the event loop.
+     * Returns the event loop, which is also a reactor for clients and servers.
      *
      * @return the event loop
      */
@@ -43,18 +45,20 @@
     }
 
     /**
-     * Returns the clock and the timers.
+     * Returns the clock and timers of the event loop.
      *
-     * @return the clock and the timers
+     * @return the clock and timers
      */
     public ProcessRuntime runtime() {
         return runtime;
     }
 
     /**
-     * Runs something on the loop and waits for what it ends with.
+     * Runs an action on the event loop and blocks the calling thread until the action's result is
+     * complete. An unchecked exception of the action is rethrown, wrapped in a {@link
+     * java.util.concurrent.CompletionException}. Must not be called on the event loop's own thread.
      *
-     * @param action takes where to put the result
+     * @param action the action, which receives the future that it has to complete
      * @param <T> the type of the result
      * @return the result
      */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
@@ -21,55 +21,60 @@
 import org.damasktiller.standin.metadata.StoreModel;
 
 /**
- * A deployment on one machine: the store and the workers are emulated in this process, each behind
- * a link that takes faults; the entry VMs are processes of their own. Used on its event loop.
+ * Runs a deployment on the local machine. The store and the workers are emulated in this process,
+ * and links inject faults between the entry VMs and the store and in front of each worker. The
+ * entry VMs run in processes of their own. Not thread-safe: faults and manifests must be applied on
+ * the event loop.
  */
 public final class Rig {
 
-    /** The name of the workers' service. */
+    /** The name of the service that all workers belong to. */
     public static final String SERVICE = "workers";
 
-    /** Names the keys that the operator and the workers write. */
+    /** Provides the keys of the records that the operator and the workers write to the store. */
     static final PlatformRecords RECORDS = new PlatformRecords();
 
-    /** How late a late call is carried out, in milliseconds: well after a client gave up. */
+    /**
+     * The delay after which a late call is executed, in milliseconds; long enough that the client
+     * has given up by then.
+     */
     private static final long LATE_MILLIS = 3_000;
 
-    /** The time between two times that the store forgets its history, in milliseconds. */
+    /** The interval between two compactions of the store's history, in milliseconds. */
     private static final long HISTORY_MILLIS = 20_000;
 
-    /** The event loop. */
+    /** The event loop of the emulated services and their links. */
     private final Eventloop eventloop;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
-    /** The store. */
+    /** The state of the emulated store. */
     private final StoreModel store;
 
-    /** What becomes of calls to the store. */
+    /** Decides which faults affect calls to the store. */
     private final SeededFates storeFates;
 
-    /** The workers. */
+    /** The emulated workers. */
     private final List<RigWorker> workers = new ArrayList<>();
 
-    /** The entry VMs. */
+    /** The processes of the entry VMs. */
     private final List<EntryProcess> entryVms = new ArrayList<>();
 
-    /** The version of the manifest in force. */
+    /** The version of the manifest that was published last, 0 before the first. */
     private long manifestVersion;
 
-    /** The link of each entry VM to the store. */
+    /** The links to the store, one for each entry VM. */
     private final List<FaultyLink> storeLinks = new ArrayList<>();
 
     /**
-     * Creates a deployment whose entry VMs are not started yet.
+     * Starts the emulated services and registers the workers. The entry VMs are not started yet.
      *
-     * @param loop the event loop with its clock
-     * @param settings the size
-     * @param behaviour tells how the tasks behave
-     * @param observer told of each start and end
-     * @param random draws what becomes of calls while there are faults
+     * @param loop the event loop with its clock and timers
+     * @param settings the size of the deployment and the directory of its files
+     * @param behaviour determines the resources, the duration and the outcome of runs
+     * @param observer notified of each start, end and acknowledgement of a run
+     * @param random the random number generator that selects the faults of calls
      */
     public Rig(
             LabLoop loop,
@@ -116,22 +121,23 @@
         runtime.schedule(HISTORY_MILLIS, this::forgetHistory);
     }
 
-    /** Starts the programs of the entry VMs; they end with this process, however it ends. */
+    /** Starts the processes of the entry VMs. A shutdown hook kills them when this JVM exits. */
     public void start() {
         Runtime.getRuntime().addShutdownHook(new Thread(this::kill, "kill-entry-vms"));
         entryVms.forEach(EntryProcess::start);
     }
 
-    /** Kills the programs that still run. */
+    /** Kills the processes of the entry VMs that are still running. */
     public void kill() {
         entryVms.forEach(EntryProcess::kill);
     }
 
     /**
-     * Puts a manifest in force, under a version above that of every earlier one.
+     * Publishes a manifest under a higher version than all earlier ones; the version of the
+     * argument is ignored.
      *
-     * @param base the services and limits
-     * @param routes the routes
+     * @param base the manifest from which the services and limits are taken
+     * @param routes the routes of the published manifest
      */
     public void manifest(Manifest base, List<Route> routes) {
         manifestVersion++;
@@ -141,7 +147,7 @@
     }
 
     /**
-     * Returns the store.
+     * Returns the state of the emulated store.
      *
      * @return the store
      */
@@ -150,7 +156,7 @@
     }
 
     /**
-     * Returns what becomes of calls to the store.
+     * Returns the plan that decides which faults affect calls to the store.
      *
      * @return the plan
      */
@@ -159,7 +165,7 @@
     }
 
     /**
-     * Returns the workers.
+     * Returns the emulated workers.
      *
      * @return the workers
      */
@@ -168,24 +174,27 @@
     }
 
     /**
-     * Returns the entry VMs.
+     * Returns the processes of the entry VMs.
      *
-     * @return the entry VMs
+     * @return the processes, also those that are not running
      */
     public List<EntryProcess> entryVms() {
         return entryVms;
     }
 
     /**
-     * Returns the link of each entry VM to the store.
+     * Returns the links between the entry VMs and the store.
      *
-     * @return the links, in the order of the entry VMs
+     * @return one link for each entry VM, in the order of the entry VMs
      */
     public List<FaultyLink> storeLinks() {
         return storeLinks;
     }
 
-    /** Forgets the store's history from time to time, so that it does not grow without end. */
+    /**
+     * Compacts the store's history at a fixed interval, since the history would otherwise grow
+     * without limit.
+     */
     private void forgetHistory() {
         store.compact();
         runtime.schedule(HISTORY_MILLIS, this::forgetHistory);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigSettings.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigSettings.java
@@ -6,34 +6,36 @@
 import org.damasktiller.scheduler.model.Resources;
 
 /**
- * The size of a local deployment.
+ * Settings of a local deployment.
  *
- * @param zones the region of each availability zone
+ * @param zones the regions by availability zone; workers and entry VMs are distributed over the
+ *     zones in this order
  * @param entryVms the number of entry VMs
  * @param workers the number of workers
- * @param capacity what each worker has
- * @param directory where settings and logs go
+ * @param capacity the resources of each worker
+ * @param directory the existing directory for the settings and logs of the entry VMs
  */
 public record RigSettings(
         Map<String, String> zones, int entryVms, int workers, Resources capacity, Path directory) {
 
     /**
-     * Starts to describe a deployment.
+     * Creates a builder of settings.
      *
-     * @param directory where settings and logs go
-     * @return a builder with three availability zones in two regions
+     * @param directory the existing directory for the settings and logs of the entry VMs
+     * @return a builder whose defaults are three availability zones in two regions, three entry VMs
+     *     and twelve workers
      */
     public static Builder builder(Path directory) {
         return new Builder(directory);
     }
 
-    /** Describes a deployment; every setter returns the builder. */
+    /** Builds the settings of a local deployment. */
     public static final class Builder {
 
-        /** Where settings and logs go. */
+        /** The existing directory for the settings and logs of the entry VMs. */
         private final Path directory;
 
-        /** The region of each availability zone. */
+        /** The regions by availability zone. */
         private Map<String, String> zones =
                 ImmutableMap.of("zone-1", "region-1", "zone-2", "region-1", "zone-3", "region-2");
 
@@ -43,13 +45,13 @@
         /** The number of workers. */
         private int workers = 12;
 
-        /** What each worker has. */
+        /** The resources of each worker. */
         private Resources capacity = new Resources(16_000, 64_000, 1);
 
         /**
-         * Creates a builder.
+         * Creates a builder with the default values.
          *
-         * @param directory where settings and logs go
+         * @param directory the existing directory for the settings and logs of the entry VMs
          */
         Builder(Path directory) {
             this.directory = directory;
@@ -58,8 +60,8 @@
         /**
          * Sets the availability zones.
          *
-         * @param value the region of each availability zone
-         * @return the builder
+         * @param value the regions by availability zone
+         * @return this builder
          */
         public Builder zones(Map<String, String> value) {
             zones = value;
@@ -70,7 +72,7 @@
          * Sets the number of entry VMs.
          *
          * @param value the number
-         * @return the builder
+         * @return this builder
          */
         public Builder entryVms(int value) {
             entryVms = value;
@@ -81,7 +83,7 @@
          * Sets the number of workers.
          *
          * @param value the number
-         * @return the builder
+         * @return this builder
          */
         public Builder workers(int value) {
             workers = value;
@@ -89,10 +91,10 @@
         }
 
         /**
-         * Sets what each worker has.
+         * Sets the resources of each worker.
          *
          * @param value the resources
-         * @return the builder
+         * @return this builder
          */
         public Builder capacity(Resources value) {
             capacity = value;
@@ -100,9 +102,9 @@
         }
 
         /**
-         * Describes the deployment.
+         * Builds the settings.
          *
-         * @return the description
+         * @return the settings
          */
         public RigSettings build() {
             return new RigSettings(zones, entryVms, workers, capacity, directory);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
@@ -10,49 +10,52 @@
 import org.damasktiller.standin.fleet.WorkerModel;
 import org.damasktiller.standin.metadata.StoreModel;
 
-/** A worker of a local deployment: its state, its link, its faults and its entry in the store. */
+/**
+ * Manages an emulated worker of a local deployment: its state, the link in front of it, the faults
+ * of calls to it and its registration in the store.
+ */
 public final class RigWorker {
 
-    /** The number of workers of a rack. */
+    /** The number of workers in each rack. */
     private static final int RACK_SIZE = 4;
 
-    /** How long a worker needs to start again, in milliseconds. */
+    /** The time that a worker needs to restart, in milliseconds. */
     private static final long RESTART_MILLIS = 1_000;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
-    /** The state. */
+    /** The state of the worker. */
     private final WorkerModel model;
 
-    /** The link to it. */
+    /** The link through which entry VMs reach the worker. */
     private final FaultyLink link;
 
-    /** What becomes of calls to it. */
+    /** Decides which faults affect calls to the worker. */
     private final SeededFates fates;
 
-    /** The store. */
+    /** The state of the emulated store. */
     private final StoreModel store;
 
-    /** The availability zone. */
+    /** The availability zone of the worker. */
     private final String zone;
 
-    /** What it has. */
+    /** The total resources of the worker. */
     private final Resources capacity;
 
-    /** The rack. */
+    /** The label of the rack that holds the worker. */
     private final String rack;
 
     /**
-     * Creates a worker that has not registered itself yet.
+     * Creates a worker that is not registered in the store yet.
      *
-     * @param runtime the clock and the timers
-     * @param model its state
-     * @param link the link to it
-     * @param fates what becomes of calls to it
-     * @param store the store
-     * @param settings the deployment
-     * @param number its number
+     * @param runtime the clock and timers of the event loop
+     * @param model the state of the worker
+     * @param link the link through which entry VMs reach the worker
+     * @param fates decides which faults affect calls to the worker
+     * @param store the state of the emulated store
+     * @param settings the settings of the deployment
+     * @param number the number of the worker, from 0; determines its zone and rack
      */
     RigWorker(
             ProcessRuntime runtime,
@@ -74,7 +77,7 @@
     }
 
     /**
-     * Returns its state.
+     * Returns the state of the worker.
      *
      * @return the state
      */
@@ -83,7 +86,7 @@
     }
 
     /**
-     * Returns the link to it.
+     * Returns the link through which entry VMs reach the worker.
      *
      * @return the link
      */
@@ -92,7 +95,7 @@
     }
 
     /**
-     * Returns what becomes of calls to it.
+     * Returns the plan that decides which faults affect calls to the worker.
      *
      * @return the plan
      */
@@ -101,10 +104,11 @@
     }
 
     /**
-     * Writes the entry.
+     * Writes the registration of the worker to the store, replacing an earlier one.
      *
-     * @param draining whether the worker is about to leave
-     * @param remainingMillis the least time until it leaves, in milliseconds
+     * @param draining whether the worker is about to leave and must not get new work
+     * @param remainingMillis the minimum time until a draining worker leaves, in milliseconds; 0 if
+     *     it is not draining
      */
     public void register(boolean draining, long remainingMillis) {
         WorkerEntry entry =
@@ -121,14 +125,20 @@
         store.commit(new StoreTransaction().put(key(), OperatorFormats.worker(entry)));
     }
 
-    /** Ends it at once: what runs on it is over, its entry goes, and it answers nothing. */
+    /**
+     * Crashes the worker. Its active runs end, its registration is removed from the store, and its
+     * link refuses connections.
+     */
     public void crash() {
         link.refuse(true);
         model.crash();
         store.commit(new StoreTransaction().remove(key()));
     }
 
-    /** Begins a new life under the same identifier, unless it is alive. */
+    /**
+     * Boots a crashed worker under its previous identifier and registers it. Has no effect if the
+     * worker is running.
+     */
     public void comeBack() {
         if (!model.alive()) {
             model.boot();
@@ -137,14 +147,14 @@
         }
     }
 
-    /** Leaves, and comes back in a new life after the time that a start takes. */
+    /** Crashes the worker and boots it again after the time that a restart takes. */
     public void restart() {
         crash();
         runtime.schedule(RESTART_MILLIS, this::comeBack);
     }
 
     /**
-     * Returns the key of the entry.
+     * Returns the key of the worker's registration in the store.
      *
      * @return the key
      */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/SeededFates.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/SeededFates.java
@@ -6,29 +6,32 @@
 import org.damasktiller.standin.metadata.CallFate;
 import org.damasktiller.standin.metadata.FatePlan;
 
-/** Draws what becomes of each call; the chances change while a deployment runs. */
+/**
+ * Selects the fault of each call at random. The probabilities of the faults may change while a
+ * deployment runs.
+ */
 public final class SeededFates implements FatePlan {
 
-    /** Draws. */
+    /** Selects the faults. */
     private final RandomGenerator random;
 
-    /** The chance of each fate other than an answer, 0 to 1. */
+    /** The probabilities of the faults, 0 to 1. The remaining probability is that of no fault. */
     private final Map<CallFate, Double> chances = new EnumMap<>(CallFate.class);
 
     /**
-     * Creates a plan that lets every call be answered.
+     * Creates a plan without faults.
      *
-     * @param random draws
+     * @param random the random number generator that selects the faults
      */
     public SeededFates(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * Sets the chance of a fate.
+     * Sets the probability of a fault.
      *
-     * @param fate the fate
-     * @param chance its chance, 0 to 1
+     * @param fate the fault
+     * @param chance the probability that a call is affected, 0 to 1; 0 disables the fault
      */
     public void set(CallFate fate, double chance) {
         chances.put(fate, chance);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/package-info.java
@@ -1,4 +1,7 @@
-/** Emulated services and the real programs of entry VMs, on one machine. */
+/**
+ * Local deployments: emulated store and workers, and the production program of the entry VMs in
+ * separate processes.
+ */
 @NullMarked
 package org.damasktiller.lab.rig;
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/BreakFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/BreakFault.java
@@ -2,24 +2,27 @@
 
 import org.damasktiller.lab.link.FaultyLink;
 
-/** Breaks the connections of a link: reset once, silent for good, or refused for a while. */
+/**
+ * Breaks connections of a link: closes the open ones, stalls them permanently, or refuses
+ * connections until the fault ends.
+ */
 final class BreakFault implements Fault {
 
-    /** The link. */
+    /** The affected link. */
     private final FaultyLink link;
 
-    /** The name of the link. */
+    /** The name of the link in the report. */
     private final String name;
 
-    /** How the connections break. */
+    /** How connections break. */
     private final Manner manner;
 
     /**
      * Creates a fault.
      *
-     * @param link the link
-     * @param name the name of the link
-     * @param manner how the connections break
+     * @param link the affected link
+     * @param name the name of the link in the report
+     * @param manner how connections break
      */
     BreakFault(FaultyLink link, String name, Manner manner) {
         this.link = link;
@@ -46,13 +49,16 @@
         return name + " " + manner;
     }
 
-    /** How connections break. */
+    /** How connections break. The constants appear by name in the report. */
     enum Manner {
-        /** Open ones are reset. */
+        /** The open connections are closed once; new ones work. */
         RESET,
-        /** Open ones go silent for good, new ones work. */
+        /**
+         * The open connections stay open but forward no more bytes, also after the fault; new ones
+         * work.
+         */
         SILENCE,
-        /** Open ones are reset and new ones refused. */
+        /** The open connections are closed, and new ones are refused until the fault ends. */
         REFUSE
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FateFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FateFault.java
@@ -3,28 +3,28 @@
 import org.damasktiller.lab.rig.SeededFates;
 import org.damasktiller.standin.metadata.CallFate;
 
-/** Gives some calls of a service another fate than an answer. */
+/** Injects a fault into a random share of the calls to the store or to a worker. */
 final class FateFault implements Fault {
 
-    /** What becomes of calls. */
+    /** The plan that decides which faults affect calls to the service. */
     private final SeededFates fates;
 
-    /** The name of the service. */
+    /** The name of the store or worker in the report. */
     private final String name;
 
-    /** The fate. */
+    /** The fault that affects calls. */
     private final CallFate fate;
 
-    /** The chance of the fate, 0 to 1. */
+    /** The probability that a call is affected, 0 to 1. */
     private final double chance;
 
     /**
      * Creates a fault.
      *
-     * @param fates what becomes of calls
-     * @param name the name of the service
-     * @param fate the fate
-     * @param chance the chance of the fate, 0 to 1
+     * @param fates the plan that decides which faults affect calls to the service
+     * @param name the name of the store or worker in the report
+     * @param fate the fault that affects calls
+     * @param chance the probability that a call is affected, 0 to 1
      */
     FateFault(SeededFates fates, String name, CallFate fate, double chance) {
         this.fates = fates;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/Fault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/Fault.java
@@ -2,29 +2,35 @@
 
 import org.damasktiller.lab.rig.EntryProcess;
 
-/** A fault that begins and ends. Several may be active at once, also of the same kind. */
+/**
+ * A fault that lasts for a limited time. Several faults may be active at the same time, including
+ * faults of the same kind.
+ */
 interface Fault {
 
-    /** Begins the fault. */
+    /** Begins the fault. Called once. */
     void begin();
 
-    /** Ends the fault. */
+    /**
+     * Ends the fault and restores normal operation as far as the fault is reversible. Called at
+     * most once, after {@link #begin()}.
+     */
     void end();
 
     /**
-     * Tells whether the fault keeps the program of an entry VM from being started again.
+     * Returns whether the process of an entry VM must not be restarted while the fault is active.
      *
      * @param entryVm the entry VM
-     * @return whether it does
+     * @return true if it must not be restarted, false by default
      */
     default boolean keepsDown(EntryProcess entryVm) {
         return false;
     }
 
     /**
-     * Describes the fault for the report.
+     * Returns a description of the fault for the report.
      *
-     * @return what is done to what
+     * @return the affected component and the kind of the fault, in one line
      */
     String describe();
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultDraw.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultDraw.java
@@ -8,46 +8,51 @@
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.standin.metadata.CallFate;
 
-/** Draws faults of every kind. */
+/**
+ * Generates random faults of all kinds. The sequence of faults depends on the order of the draws
+ * and of the constants and array elements that they select from.
+ */
 final class FaultDraw {
 
-    /** The longest delay of a slow link, in milliseconds. */
+    /** The exclusive upper bound of the delay of a slow link, in milliseconds. */
     private static final int LONGEST_DELAY_MILLIS = 1_500;
 
-    /** How long a worker drains before it leaves, in milliseconds. */
+    /** The time that a draining worker announces until it leaves, in milliseconds. */
     private static final long DRAIN_MILLIS = 3_000;
 
-    /** The most routes that a manifest adds. */
+    /** The exclusive upper bound of the number of routes that a manifest adds. */
     private static final int MOST_ROUTES = 300;
 
-    /** The states of a link that harm it. */
+    /** The states of a link that are faults. */
     private static final LinkState[] HARMS = {
         LinkState.SLOW, LinkState.REQUESTS_HELD, LinkState.ANSWERS_HELD, LinkState.HELD
     };
 
-    /** The fates of a call that harm it. */
+    /** The faults that affect calls. */
     private static final CallFate[] FATES = {
         CallFate.REFUSED, CallFate.LOST, CallFate.ANSWER_LOST, CallFate.LATE
     };
 
-    /** The signals: a kill, an orderly end, a pause, and a reload. */
+    /**
+     * The signals: forced termination, graceful shutdown, suspension and reload of the settings.
+     */
     private static final String[] SIGNALS = {"KILL", "TERM", "STOP", "HUP"};
 
-    /** Draws. */
+    /** Selects the faults and their parameters. */
     private final RandomGenerator random;
 
-    /** The deployment. */
+    /** The deployment whose components the faults affect. */
     private final Rig rig;
 
-    /** The manifest without added routes. */
+    /** The manifest that is in force without a fault. */
     private final Manifest manifest;
 
     /**
-     * Creates a part.
+     * Creates a generator.
      *
-     * @param random draws
-     * @param rig the deployment
-     * @param manifest the manifest without added routes
+     * @param random the random number generator that selects the faults and their parameters
+     * @param rig the deployment whose components the faults affect
+     * @param manifest the manifest that is in force without a fault
      */
     FaultDraw(RandomGenerator random, Rig rig, Manifest manifest) {
         this.random = random;
@@ -56,9 +61,9 @@
     }
 
     /**
-     * Draws a fault.
+     * Draws the next fault.
      *
-     * @return the fault, not begun yet
+     * @return the fault, which has not begun
      */
     Fault next() {
         return switch (pick(Kind.values())) {
@@ -88,10 +93,10 @@
     }
 
     /**
-     * Draws a fault of a link.
+     * Draws a fault of a link: broken connections or a faulty state.
      *
-     * @param link the link
-     * @param name its name
+     * @param link the affected link
+     * @param name the name of the link in the report
      * @return the fault
      */
     private Fault link(FaultyLink link, String name) {
@@ -102,7 +107,7 @@
     }
 
     /**
-     * Draws a worker.
+     * Draws a worker with equal probability for each.
      *
      * @return the worker
      */
@@ -111,33 +116,35 @@
     }
 
     /**
-     * Draws one of several.
+     * Draws one of several values with equal probability for each.
      *
      * @param values the values
-     * @param <T> their type
-     * @return one of them
+     * @param <T> the type of the values
+     * @return the drawn value
      */
     private <T> T pick(T[] values) {
         return values[random.nextInt(values.length)];
     }
 
-    /** What a fault is done to. */
+    /**
+     * The components that a fault affects. Their order determines which component a draw selects.
+     */
     private enum Kind {
-        /** The process of an entry VM. */
+        /** The process of an entry VM, by a signal. */
         SIGNAL,
         /** The link between an entry VM and the store. */
         STORE_LINK,
         /** The link to a worker. */
         WORKER_LINK,
-        /** Calls to the store. */
+        /** The calls to the store. */
         STORE_CALLS,
-        /** Calls to a worker. */
+        /** The calls to a worker. */
         WORKER_CALLS,
-        /** The life of a worker. */
+        /** A worker, which crashes or drains. */
         WORKER_LIFE,
         /** The history and the leases of the store. */
         STORE_STATE,
-        /** The manifest. */
+        /** The manifest, by additional routes. */
         MANIFEST
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/LinkFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/LinkFault.java
@@ -3,28 +3,29 @@
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.lab.link.LinkState;
 
-/** Slows a link or holds back what crosses it, one way or both. */
+/** Slows a link, or holds its bytes in one or both directions until the fault ends. */
 final class LinkFault implements Fault {
 
-    /** The link. */
+    /** The affected link. */
     private final FaultyLink link;
 
-    /** The name of the link. */
+    /** The name of the link in the report. */
     private final String name;
 
-    /** What the link does. */
+    /** The state of the link while the fault is active. */
     private final LinkState state;
 
-    /** The delay of a slow link, in milliseconds. */
+    /** The delay of each chunk of bytes if the state is SLOW, in milliseconds. */
     private final long delayMillis;
 
     /**
      * Creates a fault.
      *
-     * @param link the link
-     * @param name the name of the link
-     * @param state what the link does
-     * @param delayMillis the delay of a slow link, in milliseconds
+     * @param link the affected link
+     * @param name the name of the link in the report
+     * @param state the state of the link while the fault is active
+     * @param delayMillis the delay of each chunk of bytes if the state is SLOW, in milliseconds;
+     *     unused in other states
      */
     LinkFault(FaultyLink link, String name, LinkState state, long delayMillis) {
         this.link = link;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/ManifestFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/ManifestFault.java
@@ -6,24 +6,26 @@
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 
-/** The operator adds many routes, and takes them away again. */
+/**
+ * Publishes a manifest with many additional routes, and the original manifest when the fault ends.
+ */
 final class ManifestFault implements Fault {
 
-    /** The deployment. */
+    /** The deployment to which the manifests are published. */
     private final Rig rig;
 
-    /** The manifest without the added routes. */
+    /** The manifest without the additional routes. */
     private final Manifest base;
 
-    /** The number of added routes. */
+    /** The number of additional routes, which may be 0. */
     private final int added;
 
     /**
      * Creates a fault.
      *
-     * @param rig the deployment
-     * @param base the manifest without the added routes
-     * @param added the number of added routes
+     * @param rig the deployment to which the manifests are published
+     * @param base the manifest without the additional routes
+     * @param added the number of additional routes, which may be 0
      */
     ManifestFault(Rig rig, Manifest base, int added) {
         this.rig = rig;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
@@ -2,20 +2,23 @@
 
 import org.damasktiller.lab.rig.EntryProcess;
 
-/** Sends a signal to the program of an entry VM, and lets it go on or start again at the end. */
+/**
+ * Sends a signal to the process of an entry VM. A process that is suspended by the signal is
+ * resumed when the fault ends; one that terminates may be restarted from then on.
+ */
 final class SignalFault implements Fault {
 
-    /** The entry VM. */
+    /** The entry VM whose process gets the signal. */
     private final EntryProcess entryVm;
 
-    /** The name of the signal. */
+    /** The name of the signal without the prefix SIG. */
     private final String signal;
 
     /**
      * Creates a fault.
      *
-     * @param entryVm the entry VM
-     * @param signal the name of the signal
+     * @param entryVm the entry VM whose process gets the signal
+     * @param signal the name of the signal without the prefix SIG
      */
     SignalFault(EntryProcess entryVm, String signal) {
         this.entryVm = entryVm;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
@@ -15,66 +15,75 @@
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
-/** Sends submissions of every kind at random moments, and cancels some. */
+/** Sends random submissions at random intervals and cancels some of them. */
 final class SoakLoad {
 
-    /** How often a task may fail. */
+    /** The number of failed runs of a task after which its submission fails. */
     static final int ATTEMPTS = 3;
 
-    /** The mean time between two submissions, in milliseconds. */
+    /**
+     * The mean interval between two submissions, in milliseconds; also the interval at which the
+     * acceptance of a submission to cancel is checked.
+     */
     private static final int INTERVAL_MILLIS = 150;
 
-    /** The longest task, in milliseconds. */
+    /** The maximum estimated duration of a task, in milliseconds. */
     private static final int LONGEST_TASK_MILLIS = 900;
 
-    /** The most tasks of a step. */
+    /** The maximum number of tasks in a step; also the number of different images. */
     private static final int MOST_TASKS = 4;
 
-    /** The chance that a submission lasts, which its caller then cancels. */
+    /** The probability that a submission is long-running. */
     private static final double LASTING_CHANCE = 0.05;
 
-    /** The chance that a submission is cancelled. */
+    /** The probability that a submission is cancelled, also of one that is long-running. */
     private static final double CANCEL_CHANCE = 0.1;
 
-    /** The longest time until a submission is cancelled, in milliseconds. */
+    /** The exclusive upper bound of the delay until a submission is cancelled, in milliseconds. */
     private static final int LONGEST_CANCEL_MILLIS = 3_000;
 
-    /** What the objective of the urgent route adds to the chain of work, in milliseconds. */
+    /**
+     * The time that the latency objective of the urgent route adds to the critical path, in
+     * milliseconds.
+     */
     private static final long URGENT_TARGET_MILLIS = 600;
 
-    /** What the objective of the batch route adds to the chain of work, in milliseconds. */
+    /**
+     * The time that the latency objective of the batch route adds to the critical path, in
+     * milliseconds.
+     */
     private static final long BATCH_TARGET_MILLIS = 2_000;
 
-    /** The largest body of a submission, in bytes. */
+    /** The maximum size of the body of a submission, in bytes. */
     private static final int BODY_BYTES = 1 << 20;
 
-    /** How long a caller's connection may be idle, in milliseconds. */
+    /** The time after which an idle connection of a caller is closed, in milliseconds. */
     private static final long IDLE_MILLIS = 30_000;
 
-    /** The size of a task, in millicores and in megabytes. */
+    /** The resources that each task needs: this number of millicores and of megabytes. */
     private static final long TASK_SIZE = 1_000;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
-    /** Draws. */
+    /** Draws the submissions, their intervals and their cancellation. */
     private final RandomGenerator random;
 
-    /** The callers. */
+    /** Sends the submissions and tracks their states. */
     private final CallerLoad load;
 
-    /** The routes. */
+    /** The manifest with the routes of the submissions. */
     private final Manifest manifest = manifest();
 
-    /** Whether to send no more. */
+    /** Whether the load has stopped. */
     private boolean over;
 
     /**
-     * Creates a load that has not begun.
+     * Creates a load that has not started.
      *
-     * @param runtime the clock and the timers
-     * @param random draws
-     * @param load the callers
+     * @param runtime the clock and timers of the event loop
+     * @param random the random number generator that draws the load
+     * @param load sends the submissions and tracks their states
      */
     SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerLoad load) {
         this.runtime = runtime;
@@ -83,9 +92,9 @@
     }
 
     /**
-     * Returns the manifest that the load needs.
+     * Creates the manifest with the routes of the load.
      *
-     * @return a manifest of an urgent and a batch route
+     * @return a manifest with an urgent and a batch route
      */
     static Manifest manifest() {
         return new Manifest(
@@ -97,7 +106,7 @@
                 new IngressLimits(BODY_BYTES, IDLE_MILLIS));
     }
 
-    /** Sends submissions until it is told to stop. */
+    /** Sends submissions at random intervals until {@link #stop()} is called. */
     void run() {
         if (over) {
             return;
@@ -106,12 +115,15 @@
         runtime.schedule(random.nextInt(2 * INTERVAL_MILLIS), this::run);
     }
 
-    /** Sends no more; what lasts goes on. */
+    /**
+     * Stops sending submissions. Submissions that were sent before are still tracked, and
+     * long-running ones continue.
+     */
     void stop() {
         over = true;
     }
 
-    /** Sends a submission. */
+    /** Draws and sends a submission, and schedules its cancellation if one is drawn. */
     private void sendOne() {
         boolean lasting = random.nextDouble() < LASTING_CHANCE;
         Route route = manifest.routes().get(random.nextInt(manifest.routes().size()));
@@ -124,7 +136,8 @@
     }
 
     /**
-     * Cancels a submission once it is accepted.
+     * Cancels a submission once it is accepted. One that is settled without acceptance is not
+     * cancelled.
      *
      * @param item the submission
      */
@@ -137,9 +150,9 @@
     }
 
     /**
-     * Draws the steps of a submission that ends.
+     * Draws the steps of a submission that is not long-running.
      *
-     * @return one step, or two of which the second waits for the first
+     * @return one step, or two of which the second depends on the first
      */
     private List<StepSpec> steps() {
         List<StepSpec> steps = new ArrayList<>();
@@ -153,7 +166,7 @@
     /**
      * Draws a step.
      *
-     * @param after the numbers of the steps that must be done first
+     * @param after the numbers of the steps that must complete before this one starts
      * @return the step
      */
     private StepSpec step(List<Integer> after) {
@@ -166,7 +179,7 @@
     }
 
     /**
-     * Draws the step of a submission that lasts.
+     * Draws the step of a long-running submission.
      *
      * @return the step
      */
@@ -176,11 +189,12 @@
     }
 
     /**
-     * Makes a route.
+     * Creates a route for the load.
      *
-     * @param name its name
-     * @param priority its rank, 0 the most urgent
-     * @param targetMillis what its objective adds to the chain of work, in milliseconds
+     * @param name the name of the route
+     * @param priority the rank of the route; 0 is the most urgent
+     * @param targetMillis the time that the latency objective adds to the critical path, in
+     *     milliseconds
      * @return the route
      */
     private static Route route(String name, int priority, long targetMillis) {
@@ -198,7 +212,7 @@
     }
 
     /**
-     * Returns the size of a task.
+     * Returns the resources that each task needs.
      *
      * @return the resources
      */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -24,98 +24,106 @@
 import org.damasktiller.standin.fleet.RunAudit;
 
 /**
- * One soak: the programs of the entry VMs run as processes while faults of a seeded plan begin and
- * end, the promises are checked all the while, and once the faults are over all accepted work has
- * to finish.
+ * Runs the fault soak test for one seed. The entry VMs run in processes of their own while faults
+ * drawn from the seed begin and end. The guarantees of the scheduler are checked periodically. Once
+ * all faults have ended, every accepted submission has to finish or, if it is long-running, to run.
  */
 public final class SoakRun {
 
-    /** How long the deployment runs before the first fault, in milliseconds. */
+    /** The time that the deployment runs before the first fault, in milliseconds. */
     private static final long CALM_MILLIS = 4_000;
 
-    /** The longest time between two faults, in milliseconds. */
+    /** The exclusive upper bound of the time between the starts of two faults, in milliseconds. */
     private static final int LONGEST_GAP_MILLIS = 1_500;
 
-    /** The shortest fault, in milliseconds. */
+    /** The minimum duration of a fault, in milliseconds. */
     private static final long SHORTEST_FAULT_MILLIS = 200;
 
-    /** The longest fault, in milliseconds. */
+    /**
+     * The exclusive upper bound of the random time that is added to the minimum duration of a
+     * fault, in milliseconds.
+     */
     private static final int LONGEST_FAULT_MILLIS = 8_000;
 
-    /** The time between two checks, in milliseconds. */
+    /** The interval between two checks of the guarantees, in milliseconds. */
     private static final long CHECK_MILLIS = 1_000;
 
-    /** How long work may take to finish once the faults are over, in milliseconds. */
+    /**
+     * The maximum time that accepted submissions get to finish after the phase in which faults
+     * begin, in milliseconds.
+     */
     private static final long FINISH_MILLIS = 90_000;
 
-    /** How long a caller waits for an answer, in milliseconds. */
+    /** The timeout of a caller's request, in milliseconds. */
     private static final long CALL_MILLIS = 3_000;
 
-    /** The chance that a run fails. */
+    /** The probability that a run fails, 0 to 1. */
     private static final double FAILURE_CHANCE = 0.02;
 
     /** The number of milliseconds in a second. */
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** What an entry VM logs at an unchecked error. */
+    /** The name of the event that an entry VM logs for an unchecked exception. */
     private static final String FAULT_EVENT = "program.fault";
 
-    /** What to do. */
+    /** The settings of the run. */
     private final SoakSettings settings;
 
-    /** Where the report goes. */
+    /** The stream to which the report is printed. */
     private final PrintStream output;
 
-    /** The loop. */
+    /** The event loop of the emulated services, the callers and the faults. */
     private final LabLoop loop;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
-    /** Where the settings and logs of this seed go. */
+    /** The directory for the settings and logs of this seed. */
     private final Path directory;
 
-    /** Draws the faults and the load. */
+    /**
+     * The seeded random number generator, shared by the faults, the load and the emulated services.
+     */
     private final RandomGenerator random;
 
-    /** What the workers ran. */
+    /** Records the runs of the workers and detects violations. */
     private final RunAudit audit = new RunAudit(SoakLoad.ATTEMPTS);
 
-    /** The deployment. */
+    /** The emulated services and the processes of the entry VMs. */
     private final Rig rig;
 
-    /** The callers. */
+    /** Sends the submissions and tracks their states. */
     private final CallerLoad callers;
 
-    /** The load. */
+    /** Generates the submissions. */
     private final SoakLoad load;
 
-    /** The manifest without added routes. */
+    /** The manifest that is in force without a fault. */
     private final Manifest manifest = SoakLoad.manifest();
 
-    /** The check of the promises. */
+    /** Checks the guarantees of the scheduler. */
     private final PromiseCheck check;
 
-    /** Draws the faults. */
+    /** Generates the faults. */
     private final FaultDraw draw;
 
-    /** The active faults. */
+    /** The faults that have begun and not ended. */
     private final List<Fault> active = new ArrayList<>();
 
-    /** Unchecked errors of this program. */
+    /** The unchecked exceptions of scheduled actions in this process, one line each. */
     private final List<String> ownFaults = new ArrayList<>();
 
-    /** The number of faults so far. */
+    /** The number of faults that have begun. */
     private int faults;
 
-    /** When faults end, in milliseconds. */
+    /** The time on the monotonic clock from which no more faults begin, in milliseconds. */
     private long faultsEndMillis;
 
     /**
-     * Creates a soak.
+     * Creates a run with its emulated services. The processes of the entry VMs are not started yet.
      *
-     * @param settings what to do
-     * @param output where the report goes
+     * @param settings the settings of the run
+     * @param output the stream to which the report is printed
      */
     public SoakRun(SoakSettings settings, PrintStream output) {
         this.settings = settings;
@@ -140,9 +148,9 @@
     }
 
     /**
-     * Runs.
+     * Runs the soak, prints the report and kills the processes of the entry VMs.
      *
-     * @return whether every promise was kept
+     * @return true if no violation and no unchecked exception was found
      */
     public boolean run() {
         List<String> found;
@@ -161,9 +169,9 @@
     }
 
     /**
-     * Starts the deployment, the load and the faults.
+     * Starts the deployment and the load, and schedules the first fault and the first check.
      *
-     * @param result takes the violations
+     * @param result completed with the violations at the end of the soak
      */
     private void begin(CompletableFuture<List<String>> result) {
         rig.manifest(manifest, manifest.routes());
@@ -175,7 +183,7 @@
         runtime.schedule(CHECK_MILLIS, () -> check(result));
     }
 
-    /** Begins a fault, and plans its end and the next fault. */
+    /** Begins a fault, and schedules its end and the next fault. */
     private void nextFault() {
         if (runtime.nowMillis() >= faultsEndMillis) {
             return;
@@ -196,9 +204,10 @@
     }
 
     /**
-     * Checks the promises; ends the soak at the first violation, or when all work has finished.
+     * Checks the guarantees. Ends the soak when a violation is found, or when all faults have ended
+     * and all accepted submissions have finished; otherwise schedules the next check.
      *
-     * @param result takes the violations
+     * @param result completed with the violations at the end of the soak
      */
     private void check(CompletableFuture<List<String>> result) {
         List<String> found = check.violations();
@@ -220,9 +229,9 @@
     }
 
     /**
-     * Starts the programs that have ended and that no fault keeps down.
+     * Restarts the processes of the entry VMs that have ended, unless an active fault prevents it.
      *
-     * @return a line for each that had not been told to end
+     * @return a line for each process that ended without having been requested to
      */
     private List<String> restart() {
         List<String> found = new ArrayList<>();
@@ -231,7 +240,8 @@
                 continue;
             }
             if (!entryVm.toldToEnd()) {
-                found.add(entryVm.name() + ": ended by itself, exit code " + entryVm.exitCode());
+                found.add(
+                        entryVm.name() + ": exited unexpectedly, exit code " + entryVm.exitCode());
             }
             entryVm.start();
         }
@@ -239,9 +249,9 @@
     }
 
     /**
-     * Finds unchecked errors in the logs of the entry VMs.
+     * Finds unchecked exceptions in the logs of the entry VMs.
      *
-     * @return their lines
+     * @return the first such line of each log
      */
     private List<String> faultsInLogs() {
         List<String> found = new ArrayList<>();
@@ -256,10 +266,10 @@
     }
 
     /**
-     * Makes the directory of a seed.
+     * Creates the directory for the settings and logs of a seed.
      *
-     * @param settings what to do
-     * @return its path
+     * @param settings the settings of the run
+     * @return the path of the directory
      */
     private static Path directory(SoakSettings settings) {
         Path path = Path.of(settings.directory(), "seed-" + settings.seed());
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
@@ -2,20 +2,23 @@
 
 import org.damasktiller.standin.metadata.StoreModel;
 
-/** The store forgets its history, or lets every lease end unseen. */
+/**
+ * Compacts the history of the store, and optionally ends all leases before. Watches that resume
+ * from an earlier revision then fail, so that they do not see the end of the leases.
+ */
 final class StoreFault implements Fault {
 
-    /** The store. */
+    /** The state of the emulated store. */
     private final StoreModel store;
 
-    /** Whether leases end, or else the history is forgotten. */
+    /** Whether all leases end before the history is compacted. */
     private final boolean endsLeases;
 
     /**
      * Creates a fault.
      *
-     * @param store the store
-     * @param endsLeases whether leases end, or else the history is forgotten
+     * @param store the state of the emulated store
+     * @param endsLeases whether all leases end before the history is compacted
      */
     StoreFault(StoreModel store, boolean endsLeases) {
         this.store = store;
@@ -35,6 +38,6 @@
 
     @Override
     public String describe() {
-        return endsLeases ? "store ends every lease" : "store forgets its history";
+        return endsLeases ? "store ends every lease" : "store discards its history";
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
@@ -2,20 +2,27 @@
 
 import org.damasktiller.lab.rig.RigWorker;
 
-/** A worker crashes, or drains and leaves; it comes back under its identifier in a new life. */
+/**
+ * Crashes a worker immediately, or drains it and crashes it when the fault ends. The worker boots
+ * again under its previous identifier.
+ */
 final class WorkerFault implements Fault {
 
-    /** The worker. */
+    /** The affected worker. */
     private final RigWorker worker;
 
-    /** How long it drains before it leaves, in milliseconds, zero for a crash. */
+    /**
+     * The time until the worker leaves that it announces when draining, in milliseconds; 0 for an
+     * immediate crash.
+     */
     private final long drainMillis;
 
     /**
      * Creates a fault.
      *
-     * @param worker the worker
-     * @param drainMillis how long it drains before it leaves, in milliseconds, zero for a crash
+     * @param worker the affected worker
+     * @param drainMillis the time until the worker leaves that it announces when draining, in
+     *     milliseconds; 0 for an immediate crash
      */
     WorkerFault(RigWorker worker, long drainMillis) {
         this.worker = worker;
@@ -42,6 +49,6 @@
 
     @Override
     public String describe() {
-        return worker.model().id() + (drainMillis > 0 ? " drains and leaves" : " crashes");
+        return worker.model().id() + (drainMillis > 0 ? " drains and restarts" : " crashes");
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/package-info.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/package-info.java
@@ -1,4 +1,7 @@
-/** The fault soak: a seeded plan of overlapping faults, and the checks while it runs. */
+/**
+ * The fault soak test: overlapping faults drawn from a seed, with continuous checks of the
+ * scheduler's guarantees.
+ */
 @NullMarked
 package org.damasktiller.lab.soak;
 
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests what a link does with the bytes of plain sockets. */
+/** Tests the faults of a link on connections of plain sockets. */
 class FaultyLinkTest {
 
     private static final int READ_MILLIS = 60_000;
