--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/link/FaultyLink.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/link/FaultyLink.java
@@ -19,7 +19,7 @@
 public final class FaultyLink {
 
     /** The interval at which held bytes are checked for release, in milliseconds. */
-    private static final long POLL_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     /** The event loop that performs the I/O and runs the timers. */
     private final NioReactor reactor;
@@ -31,7 +31,7 @@
     private final SimpleServer listener;
 
     /** The open connections that the link forwards. */
-    private final List<Crossing> crossings = new ArrayList<>();
+    private final List<ProxiedConnection> connections = new ArrayList<>();
 
     /** How the link forwards bytes. */
     private LinkState state = LinkState.OPEN;
@@ -75,26 +75,26 @@
     /**
      * Changes how the link forwards bytes, also on open connections.
      *
-     * @param next the new state
-     * @param nextDelayMillis the delay of each chunk of bytes while the state is SLOW, in
+     * @param newState the new state
+     * @param newDelayMillis the delay of each chunk of bytes while the state is SLOW, in
      *     milliseconds; unused in other states
      */
-    public void set(LinkState next, long nextDelayMillis) {
-        state = next;
-        delayMillis = nextDelayMillis;
+    public void setState(LinkState newState, long newDelayMillis) {
+        state = newState;
+        delayMillis = newDelayMillis;
     }
 
     /** Closes both sides of all open connections. New connections still work. */
-    public void reset() {
-        new ArrayList<>(crossings).forEach(Crossing::close);
+    public void closeConnections() {
+        new ArrayList<>(connections).forEach(ProxiedConnection::close);
     }
 
     /**
      * Stalls the open connections permanently: they stay open but forward no more bytes. New
      * connections still work.
      */
-    public void silence() {
-        crossings.forEach(crossing -> crossing.silent = true);
+    public void stallConnections() {
+        connections.forEach(connection -> connection.stalled = true);
     }
 
     /**
@@ -102,10 +102,10 @@
      *
      * @param value true to refuse new connections, false to accept them again
      */
-    public void refuse(boolean value) {
+    public void setRefusing(boolean value) {
         refusing = value;
         if (value) {
-            reset();
+            closeConnections();
         }
     }
 
@@ -121,12 +121,12 @@
             return;
         }
         TcpSocket.connect(reactor, target)
-                .whenResult(server -> new Crossing(client, server).start())
+                .whenResult(server -> new ProxiedConnection(client, server).start())
                 .whenException(exception -> client.close());
     }
 
     /** A connection between a client and the server that the link forwards. */
-    private final class Crossing {
+    private final class ProxiedConnection {
 
         /** The socket of the client. */
         private final ITcpSocket client;
@@ -135,7 +135,7 @@
         private final ITcpSocket server;
 
         /** Whether the connection is stalled permanently. */
-        private boolean silent;
+        private boolean stalled;
 
         /** Whether both sockets have been closed. */
         private boolean closed;
@@ -146,23 +146,23 @@
          * @param client the socket of the client
          * @param server the socket of the server
          */
-        Crossing(ITcpSocket client, ITcpSocket server) {
+        ProxiedConnection(ITcpSocket client, ITcpSocket server) {
             this.client = client;
             this.server = server;
         }
 
         /** Starts to forward bytes in both directions. */
         void start() {
-            crossings.add(this);
-            pump(client, server, LinkState.REQUESTS_HELD);
-            pump(server, client, LinkState.ANSWERS_HELD);
+            connections.add(this);
+            forward(client, server, LinkState.REQUESTS_HELD);
+            forward(server, client, LinkState.ANSWERS_HELD);
         }
 
         /** Closes both sockets. Repeated calls have no effect. */
         void close() {
             if (!closed) {
                 closed = true;
-                crossings.remove(this);
+                connections.remove(this);
                 client.close();
                 server.close();
             }
@@ -174,21 +174,26 @@
          *
          * @param from the socket to read from
          * @param to the socket to write to
-         * @param holding the state that holds the bytes of this direction
+         * @param holdingState the state that holds the bytes of this direction
          */
-        private void pump(ITcpSocket from, ITcpSocket to, LinkState holding) {
+        private void forward(ITcpSocket from, ITcpSocket to, LinkState holdingState) {
             from.read()
                     .whenComplete(
                             (bytes, error) -> {
                                 if (error != null || bytes == null) {
-                                    pass(holding, this::close);
+                                    runWhenReleased(holdingState, this::close);
                                     return;
                                 }
-                                pass(
-                                        holding,
+                                runWhenReleased(
+                                        holdingState,
                                         () ->
                                                 to.write(bytes)
-                                                        .whenResult(() -> pump(from, to, holding))
+                                                        .whenResult(
+                                                                () ->
+                                                                        forward(
+                                                                                from,
+                                                                                to,
+                                                                                holdingState))
                                                         .whenException(this::close));
                             });
         }
@@ -197,15 +202,15 @@
          * Runs an action once this direction is not held, after the delay of a slow link. A closed
          * connection drops the action.
          *
-         * @param holding the state that holds the bytes of this direction
+         * @param holdingState the state that holds the bytes of this direction
          * @param action the action that forwards bytes or the end of the stream
          */
-        private void pass(LinkState holding, Runnable action) {
+        private void runWhenReleased(LinkState holdingState, Runnable action) {
             if (closed) {
                 return;
             }
-            if (silent || state == LinkState.HELD || state == holding) {
-                reactor.delay(POLL_MILLIS, () -> pass(holding, action));
+            if (stalled || state == LinkState.HELD || state == holdingState) {
+                reactor.delay(POLL_INTERVAL_MILLIS, () -> runWhenReleased(holdingState, action));
             } else if (state == LinkState.SLOW) {
                 reactor.delay(delayMillis, action);
             } else {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -15,10 +15,10 @@
 import org.damasktiller.lab.load.SubmittedWork;
 import org.damasktiller.lab.load.WorkItem;
 import org.damasktiller.lab.rig.Deployment;
-import org.damasktiller.lab.rig.EntryProcess;
-import org.damasktiller.lab.rig.LabLoop;
-import org.damasktiller.lab.rig.Rig;
-import org.damasktiller.lab.rig.RigSettings;
+import org.damasktiller.lab.rig.EntryVmProcess;
+import org.damasktiller.lab.rig.LabEventLoop;
+import org.damasktiller.lab.rig.LocalDeployment;
+import org.damasktiller.lab.rig.LocalDeploymentSettings;
 import org.damasktiller.lab.table.TableManifest;
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
@@ -40,21 +40,21 @@
 public final class LocalRun {
 
     /** The number of submissions that are sent for each row. */
-    private static final int PER_ROW = 20;
+    private static final int SUBMISSIONS_PER_ROW = 20;
 
     /** The maximum estimated duration of a task of the load, in milliseconds. */
-    private static final long LONGEST_TASK_MILLIS = 300;
+    private static final long MAX_TASK_MILLIS = 300;
 
     /** The timeout of a caller's request, in milliseconds. */
-    private static final long CALL_MILLIS = 5_000;
+    private static final long CALL_TIMEOUT_MILLIS = 5_000;
 
     /** The interval between two lines of progress, in milliseconds. */
-    private static final long PROGRESS_MILLIS = 1_000;
+    private static final long PROGRESS_INTERVAL_MILLIS = 1_000;
 
     /**
      * The maximum time that unfinished submissions get after the load has ended, in milliseconds.
      */
-    private static final long FINISH_MILLIS = 60_000;
+    private static final long FINISH_TIMEOUT_MILLIS = 60_000;
 
     /** The number of milliseconds in a second. */
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -72,7 +72,7 @@
     private final PrintStream output;
 
     /** The event loop of the emulated services and the callers. */
-    private final LabLoop loop;
+    private final LabEventLoop loop;
 
     /** Records the runs of the workers and detects violations. */
     private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
@@ -81,7 +81,7 @@
     private final SubmittedWork work;
 
     /** The emulated services and the processes of the entry VMs. */
-    private final Rig rig;
+    private final LocalDeployment localDeployment;
 
     /** Sends the submissions and tracks their states. */
     private final CallerLoad load;
@@ -107,20 +107,26 @@
         this.output = output;
         RandomGenerator random = new Well19937c(1);
         work = new SubmittedWork(random, 0);
-        loop = new LabLoop("local", output::println);
-        RigSettings settings =
-                RigSettings.builder(temporaryDirectory())
+        loop = new LabEventLoop("local", output::println);
+        LocalDeploymentSettings settings =
+                LocalDeploymentSettings.builder(createTemporaryDirectory())
                         .zones(deployment.zoneNames())
                         .entryVms(entryVms)
                         .workers(deployment.workers())
                         .capacity(deployment.capacity())
                         .build();
-        rig = loop.await(made -> made.complete(new Rig(loop, settings, work, audit, random)));
+        localDeployment =
+                loop.await(
+                        created ->
+                                created.complete(
+                                        new LocalDeployment(loop, settings, work, audit, random)));
         load =
                 new CallerLoad(
                         loop.runtime(),
-                        new CallerClient(loop.eventloop(), CALL_MILLIS),
-                        rig.entryVms().stream().map(EntryProcess::callers).toList(),
+                        new CallerClient(loop.eventloop(), CALL_TIMEOUT_MILLIS),
+                        localDeployment.entryVms().stream()
+                                .map(EntryVmProcess::callerAddress)
+                                .toList(),
                         random,
                         work);
     }
@@ -135,11 +141,13 @@
             output.println(
                     deployment.workers()
                             + " workers, entry VMs at "
-                            + rig.entryVms().stream().map(EntryProcess::callers).toList());
-            boolean finished = loop.await(this::begin);
+                            + localDeployment.entryVms().stream()
+                                    .map(EntryVmProcess::callerAddress)
+                                    .toList());
+            boolean finished = loop.await(this::startDeploymentAndLoad);
             return report(finished);
         } finally {
-            rig.kill();
+            localDeployment.kill();
         }
     }
 
@@ -150,31 +158,32 @@
      * @param finished completed with true once all submissions are settled, with false after the
      *     timeout
      */
-    private void begin(CompletableFuture<Boolean> finished) {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 1);
-        rig.manifest(manifest, manifest.routes());
-        rig.start();
+    private void startDeploymentAndLoad(CompletableFuture<Boolean> finished) {
+        Manifest manifest = TableManifest.of(table, LocalDeployment.SERVICE, 1);
+        localDeployment.publishManifest(manifest, manifest.routes());
+        localDeployment.start();
         List<KindOfWork> rows = table.rows();
         for (int row = 0; row < rows.size(); row++) {
-            for (int number = 0; number < PER_ROW; number++) {
+            for (int index = 0; index < SUBMISSIONS_PER_ROW; index++) {
                 Route route = manifest.routes().get(row);
-                Submission submission = submission(rows.get(row));
+                Submission submission = createSubmission(rows.get(row));
                 loop.runtime()
                         .schedule(
-                                loadMillis * number / PER_ROW, () -> load.send(route, submission));
+                                loadMillis * index / SUBMISSIONS_PER_ROW,
+                                () -> load.send(route, submission));
             }
         }
-        loop.runtime().schedule(loadMillis / 2, this::change);
+        loop.runtime().schedule(loadMillis / 2, this::publishManifestAndDrain);
         awaitFinish(finished, loop.runtime().nowMillis());
     }
 
     /** Publishes a newer manifest and drains the last entry VM. */
-    private void change() {
-        Manifest manifest = TableManifest.of(table, Rig.SERVICE, 2);
-        rig.manifest(manifest, manifest.routes());
-        EntryProcess last = rig.entryVms().get(rig.entryVms().size() - 1);
+    private void publishManifestAndDrain() {
+        Manifest manifest = TableManifest.of(table, LocalDeployment.SERVICE, 2);
+        localDeployment.publishManifest(manifest, manifest.routes());
+        EntryVmProcess last = localDeployment.entryVms().get(localDeployment.entryVms().size() - 1);
         output.println("manifest version 2 is in the store; draining " + last.name());
-        last.signal("TERM");
+        last.sendSignal("TERM");
     }
 
     /**
@@ -185,15 +194,15 @@
      * @param beganMillis when the load began on the monotonic clock, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
-        long open = load.items().stream().filter(item -> !item.settled()).count();
-        output.println("sent " + load.items().size() + ", open " + open);
-        long passed = loop.runtime().nowMillis() - beganMillis;
-        boolean sent = load.items().size() == table.rows().size() * PER_ROW;
-        if ((sent && open == 0) || passed > loadMillis + FINISH_MILLIS) {
-            finished.complete(sent && open == 0);
+        long openCount = load.items().stream().filter(item -> !item.settled()).count();
+        output.println("sent " + load.items().size() + ", open " + openCount);
+        long elapsedMillis = loop.runtime().nowMillis() - beganMillis;
+        boolean allSent = load.items().size() == table.rows().size() * SUBMISSIONS_PER_ROW;
+        if ((allSent && openCount == 0) || elapsedMillis > loadMillis + FINISH_TIMEOUT_MILLIS) {
+            finished.complete(allSent && openCount == 0);
             return;
         }
-        loop.runtime().schedule(PROGRESS_MILLIS, () -> awaitFinish(finished, beganMillis));
+        loop.runtime().schedule(PROGRESS_INTERVAL_MILLIS, () -> awaitFinish(finished, beganMillis));
     }
 
     /**
@@ -217,17 +226,17 @@
                             .count(),
                     items.stream().filter(WorkItem::refused).count());
         }
-        PromiseCheck check = new PromiseCheck(load, audit, work);
-        List<String> found =
+        PromiseCheck promiseCheck = new PromiseCheck(load, audit, work);
+        List<String> violations =
                 loop.await(
                         result -> {
-                            List<String> lines = new ArrayList<>(check.violations());
-                            lines.addAll(check.unfinished());
+                            List<String> lines = new ArrayList<>(promiseCheck.violations());
+                            lines.addAll(promiseCheck.unfinished());
                             result.complete(lines);
                         });
-        found.forEach(line -> output.println("violation: " + line));
-        output.println("violations: " + found.size());
-        return finished && found.isEmpty();
+        violations.forEach(line -> output.println("violation: " + line));
+        output.println("violations: " + violations.size());
+        return finished && violations.isEmpty();
     }
 
     /**
@@ -236,7 +245,7 @@
      * @param row the row of the table
      * @return the submission
      */
-    private Submission submission(KindOfWork row) {
+    private Submission createSubmission(KindOfWork row) {
         Resources need =
                 new Resources(
                         row.declared().milliProcessors(),
@@ -244,8 +253,7 @@
                         row.declared().accelerators());
         StepSpec step =
                 StepSpec.builder(1, need)
-                        .estimateMillis(
-                                Math.max(1, Math.min(row.runTimeMillis(), LONGEST_TASK_MILLIS)))
+                        .estimateMillis(Math.max(1, Math.min(row.runTimeMillis(), MAX_TASK_MILLIS)))
                         .build();
         return new Submission(load.nextId(), row.name().value(), List.of(step), 0, 0, 0);
     }
@@ -255,7 +263,7 @@
      *
      * @return the path of the directory
      */
-    private static Path temporaryDirectory() {
+    private static Path createTemporaryDirectory() {
         try {
             return Files.createTempDirectory("damasktiller-local");
         } catch (IOException exception) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EmulatedWorker.java
@@ -14,13 +14,13 @@
  * Manages an emulated worker of a local deployment: its state, the link in front of it, the faults
  * of calls to it and its registration in the store.
  */
-public final class RigWorker {
+public final class EmulatedWorker {
 
     /** The number of workers in each rack. */
-    private static final int RACK_SIZE = 4;
+    private static final int WORKERS_PER_RACK = 4;
 
     /** The time that a worker needs to restart, in milliseconds. */
-    private static final long RESTART_MILLIS = 1_000;
+    private static final long RESTART_DELAY_MILLIS = 1_000;
 
     /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
@@ -32,7 +32,7 @@
     private final FaultyLink link;
 
     /** Decides which faults affect calls to the worker. */
-    private final SeededFates fates;
+    private final RandomFatePlan fatePlan;
 
     /** The state of the emulated store. */
     private final StoreModel store;
@@ -52,28 +52,29 @@
      * @param runtime the clock and timers of the event loop
      * @param model the state of the worker
      * @param link the link through which entry VMs reach the worker
-     * @param fates decides which faults affect calls to the worker
+     * @param fatePlan decides which faults affect calls to the worker
      * @param store the state of the emulated store
      * @param settings the settings of the deployment
      * @param number the number of the worker, from 0; determines its zone and rack
      */
-    RigWorker(
+    EmulatedWorker(
             ProcessRuntime runtime,
             WorkerModel model,
             FaultyLink link,
-            SeededFates fates,
+            RandomFatePlan fatePlan,
             StoreModel store,
-            RigSettings settings,
+            LocalDeploymentSettings settings,
             int number) {
         this.runtime = runtime;
         this.model = model;
         this.link = link;
-        this.fates = fates;
+        this.fatePlan = fatePlan;
         this.store = store;
         this.capacity = settings.capacity();
         List<String> zones = List.copyOf(settings.zones().keySet());
         this.zone = zones.get(number % zones.size());
-        this.rack = "rack-" + number % zones.size() + '-' + number / zones.size() / RACK_SIZE;
+        this.rack =
+                "rack-" + number % zones.size() + '-' + number / zones.size() / WORKERS_PER_RACK;
     }
 
     /**
@@ -99,8 +100,8 @@
      *
      * @return the plan
      */
-    public SeededFates fates() {
-        return fates;
+    public RandomFatePlan fatePlan() {
+        return fatePlan;
     }
 
     /**
@@ -114,7 +115,7 @@
         WorkerEntry entry =
                 new WorkerEntry(
                         model.id(),
-                        Rig.SERVICE,
+                        LocalDeployment.SERVICE,
                         link.address(),
                         zone,
                         draining,
@@ -122,7 +123,7 @@
                         capacity,
                         List.of("standard", rack),
                         model.bootUnixMillis());
-        store.commit(new StoreTransaction().put(key(), OperatorFormats.worker(entry)));
+        store.commit(new StoreTransaction().put(registrationKey(), OperatorFormats.worker(entry)));
     }
 
     /**
@@ -130,19 +131,19 @@
      * link refuses connections.
      */
     public void crash() {
-        link.refuse(true);
+        link.setRefusing(true);
         model.crash();
-        store.commit(new StoreTransaction().remove(key()));
+        store.commit(new StoreTransaction().remove(registrationKey()));
     }
 
     /**
      * Boots a crashed worker under its previous identifier and registers it. Has no effect if the
      * worker is running.
      */
-    public void comeBack() {
+    public void bootIfCrashed() {
         if (!model.alive()) {
             model.boot();
-            link.refuse(false);
+            link.setRefusing(false);
             register(false, 0);
         }
     }
@@ -150,7 +151,7 @@
     /** Crashes the worker and boots it again after the time that a restart takes. */
     public void restart() {
         crash();
-        runtime.schedule(RESTART_MILLIS, this::comeBack);
+        runtime.schedule(RESTART_DELAY_MILLIS, this::bootIfCrashed);
     }
 
     /**
@@ -158,7 +159,7 @@
      *
      * @return the key
      */
-    private String key() {
-        return Rig.RECORDS.workerKeyPrefix() + model.id();
+    private String registrationKey() {
+        return LocalDeployment.RECORDS.workerKeyPrefix() + model.id();
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryProcess.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryVmProcess.java
@@ -16,32 +16,32 @@
 import org.jspecify.annotations.Nullable;
 
 /** Starts, signals and restarts the process that runs the program of one entry VM. */
-public final class EntryProcess {
+public final class EntryVmProcess {
 
     /** The JVM options, identical to those in the deployment file {@code deploy/system.toml}. */
     private static final List<String> JAVA_OPTIONS =
             List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
     /** The signals that terminate the process. */
-    private static final Set<String> ENDING = Set.of("KILL", "TERM");
+    private static final Set<String> TERMINATING_SIGNALS = Set.of("KILL", "TERM");
 
     /** The name of the entry VM. */
     private final String name;
 
     /** The file from which the program reads its settings. */
-    private final Path settings;
+    private final Path settingsFile;
 
     /** The file to which the standard output and error of the process are appended. */
-    private final Path log;
+    private final Path logFile;
 
     /** The address on which the program listens for callers. */
-    private final InetSocketAddress callers;
+    private final InetSocketAddress callerAddress;
 
     /** The process that was started last, null before the first start. */
     private @Nullable Process process;
 
     /** Whether the process was requested to terminate since its last start. */
-    private boolean toldToEnd;
+    private boolean terminationRequested;
 
     /**
      * Writes the settings file of an entry VM. The process is not started yet.
@@ -52,20 +52,20 @@
      * @param store the address at which the program connects to the store
      * @param directory the existing directory for the settings and the log
      */
-    public EntryProcess(
+    public EntryVmProcess(
             String name,
             String zone,
             Map<String, String> zones,
             InetSocketAddress store,
             Path directory) {
         this.name = name;
-        this.callers = freeAddress();
-        this.settings = directory.resolve(name + ".conf");
-        this.log = directory.resolve(name + ".log");
+        this.callerAddress = freeAddress();
+        this.settingsFile = directory.resolve(name + ".conf");
+        this.logFile = directory.resolve(name + ".log");
         List<String> lines =
-                OperatorFormats.settings(name, zone, zones, callers, freeAddress(), store);
+                OperatorFormats.settings(name, zone, zones, callerAddress, freeAddress(), store);
         try {
-            Files.write(settings, lines);
+            Files.write(settingsFile, lines);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
@@ -85,8 +85,8 @@
      *
      * @return the loopback address
      */
-    public InetSocketAddress callers() {
-        return callers;
+    public InetSocketAddress callerAddress() {
+        return callerAddress;
     }
 
     /**
@@ -94,8 +94,8 @@
      *
      * @return the path
      */
-    public Path log() {
-        return log;
+    public Path logFile() {
+        return logFile;
     }
 
     /** Starts a new process with the settings of the entry VM. */
@@ -109,12 +109,12 @@
                         System.getProperty("java.class.path"),
                         Main.class.getName(),
                         "--settings",
-                        settings.toString()));
+                        settingsFile.toString()));
         ProcessBuilder builder =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        toldToEnd = false;
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
+        terminationRequested = false;
         try {
             process = builder.start();
         } catch (IOException exception) {
@@ -127,9 +127,9 @@
      *
      * @return true if it is, false if it was never started or has ended
      */
-    public boolean alive() {
-        Process present = process;
-        return present != null && present.isAlive();
+    public boolean isAlive() {
+        Process current = process;
+        return current != null && current.isAlive();
     }
 
     /**
@@ -138,8 +138,8 @@
      * @return the exit code, or -1 if the process is running or was never started
      */
     public int exitCode() {
-        Process present = process;
-        return present == null || present.isAlive() ? -1 : present.exitValue();
+        Process current = process;
+        return current == null || current.isAlive() ? -1 : current.exitValue();
     }
 
     /**
@@ -148,8 +148,8 @@
      *
      * @return true if it was killed or sent a terminating signal
      */
-    public boolean toldToEnd() {
-        return toldToEnd;
+    public boolean terminationRequested() {
+        return terminationRequested;
     }
 
     /**
@@ -157,14 +157,14 @@
      *
      * @param signal the name of the signal without the prefix SIG, such as {@code TERM}
      */
-    public void signal(String signal) {
-        Process present = process;
-        if (present == null || !present.isAlive()) {
+    public void sendSignal(String signal) {
+        Process current = process;
+        if (current == null || !current.isAlive()) {
             return;
         }
-        toldToEnd |= ENDING.contains(signal);
+        terminationRequested |= TERMINATING_SIGNALS.contains(signal);
         try {
-            new ProcessBuilder("kill", "-" + signal, Long.toString(present.pid())).start();
+            new ProcessBuilder("kill", "-" + signal, Long.toString(current.pid())).start();
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
@@ -172,10 +172,10 @@
 
     /** Kills the process. Has no effect if it was never started. */
     public void kill() {
-        Process present = process;
-        if (present != null) {
-            toldToEnd = true;
-            present.destroyForcibly();
+        Process current = process;
+        if (current != null) {
+            terminationRequested = true;
+            current.destroyForcibly();
         }
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabLoop.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LabEventLoop.java
@@ -12,7 +12,7 @@
 /**
  * Owns the event loop that runs the emulated services and the callers, with its clock and timers.
  */
-public final class LabLoop implements AutoCloseable {
+public final class LabEventLoop implements AutoCloseable {
 
     /** The event loop. */
     private final Eventloop eventloop;
@@ -24,15 +24,16 @@
      * Starts an event loop on a daemon thread.
      *
      * @param name the name of the thread
-     * @param faults receives a line for each unchecked exception of a scheduled action
+     * @param exceptionHandler receives a line for each unchecked exception of a scheduled action
      */
-    public LabLoop(String name, Consumer<String> faults) {
+    public LabEventLoop(String name, Consumer<String> exceptionHandler) {
         eventloop = EventLoops.start(name);
         runtime =
                 new EventLoopRuntime(
                         eventloop,
                         Clock.systemUTC(),
-                        (event, fields) -> faults.accept(event + ' ' + Arrays.toString(fields)));
+                        (event, fields) ->
+                                exceptionHandler.accept(event + ' ' + Arrays.toString(fields)));
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/Rig.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LocalDeployment.java
@@ -26,7 +26,7 @@
  * entry VMs run in processes of their own. Not thread-safe: faults and manifests must be applied on
  * the event loop.
  */
-public final class Rig {
+public final class LocalDeployment {
 
     /** The name of the service that all workers belong to. */
     public static final String SERVICE = "workers";
@@ -38,10 +38,10 @@
      * The delay after which a late call is executed, in milliseconds; long enough that the client
      * has given up by then.
      */
-    private static final long LATE_MILLIS = 3_000;
+    private static final long LATE_CALL_DELAY_MILLIS = 3_000;
 
     /** The interval between two compactions of the store's history, in milliseconds. */
-    private static final long HISTORY_MILLIS = 20_000;
+    private static final long COMPACTION_INTERVAL_MILLIS = 20_000;
 
     /** The event loop of the emulated services and their links. */
     private final Eventloop eventloop;
@@ -53,13 +53,13 @@
     private final StoreModel store;
 
     /** Decides which faults affect calls to the store. */
-    private final SeededFates storeFates;
+    private final RandomFatePlan storeFatePlan;
 
     /** The emulated workers. */
-    private final List<RigWorker> workers = new ArrayList<>();
+    private final List<EmulatedWorker> workers = new ArrayList<>();
 
     /** The processes of the entry VMs. */
-    private final List<EntryProcess> entryVms = new ArrayList<>();
+    private final List<EntryVmProcess> entryVms = new ArrayList<>();
 
     /** The version of the manifest that was published last, 0 before the first. */
     private long manifestVersion;
@@ -76,19 +76,20 @@
      * @param observer notified of each start, end and acknowledgement of a run
      * @param random the random number generator that selects the faults of calls
      */
-    public Rig(
-            LabLoop loop,
-            RigSettings settings,
+    public LocalDeployment(
+            LabEventLoop loop,
+            LocalDeploymentSettings settings,
             TaskBehaviour behaviour,
             RunObserver observer,
             RandomGenerator random) {
         eventloop = loop.eventloop();
         runtime = loop.runtime();
         store = new StoreModel(runtime);
-        storeFates = new SeededFates(random);
+        storeFatePlan = new RandomFatePlan(random);
         InetSocketAddress storeAddress =
                 LoopbackServer.start(
-                        eventloop, new StoreServlet(store, runtime, storeFates, LATE_MILLIS));
+                        eventloop,
+                        new StoreServlet(store, runtime, storeFatePlan, LATE_CALL_DELAY_MILLIS));
         for (int number = 0; number < settings.workers(); number++) {
             WorkerModel model =
                     new WorkerModel(
@@ -97,12 +98,14 @@
                             runtime,
                             behaviour,
                             observer);
-            SeededFates fates = new SeededFates(random);
+            RandomFatePlan fatePlan = new RandomFatePlan(random);
             InetSocketAddress address =
                     LoopbackServer.start(
-                            eventloop, new WorkerServlet(model, runtime, fates, LATE_MILLIS));
+                            eventloop,
+                            new WorkerServlet(model, runtime, fatePlan, LATE_CALL_DELAY_MILLIS));
             FaultyLink link = new FaultyLink(eventloop, address);
-            RigWorker worker = new RigWorker(runtime, model, link, fates, store, settings, number);
+            EmulatedWorker worker =
+                    new EmulatedWorker(runtime, model, link, fatePlan, store, settings, number);
             worker.register(false, 0);
             workers.add(worker);
         }
@@ -111,25 +114,25 @@
             FaultyLink link = new FaultyLink(eventloop, storeAddress);
             storeLinks.add(link);
             entryVms.add(
-                    new EntryProcess(
+                    new EntryVmProcess(
                             "entry-" + number,
                             zones.get(number % zones.size()),
                             settings.zones(),
                             link.address(),
                             settings.directory()));
         }
-        runtime.schedule(HISTORY_MILLIS, this::forgetHistory);
+        runtime.schedule(COMPACTION_INTERVAL_MILLIS, this::compactHistory);
     }
 
     /** Starts the processes of the entry VMs. A shutdown hook kills them when this JVM exits. */
     public void start() {
         Runtime.getRuntime().addShutdownHook(new Thread(this::kill, "kill-entry-vms"));
-        entryVms.forEach(EntryProcess::start);
+        entryVms.forEach(EntryVmProcess::start);
     }
 
     /** Kills the processes of the entry VMs that are still running. */
     public void kill() {
-        entryVms.forEach(EntryProcess::kill);
+        entryVms.forEach(EntryVmProcess::kill);
     }
 
     /**
@@ -139,11 +142,12 @@
      * @param base the manifest from which the services and limits are taken
      * @param routes the routes of the published manifest
      */
-    public void manifest(Manifest base, List<Route> routes) {
+    public void publishManifest(Manifest base, List<Route> routes) {
         manifestVersion++;
-        Manifest next = new Manifest(manifestVersion, routes, base.services(), base.limits());
+        Manifest published = new Manifest(manifestVersion, routes, base.services(), base.limits());
         store.commit(
-                new StoreTransaction().put(RECORDS.manifestKey(), OperatorFormats.manifest(next)));
+                new StoreTransaction()
+                        .put(RECORDS.manifestKey(), OperatorFormats.manifest(published)));
     }
 
     /**
@@ -160,8 +164,8 @@
      *
      * @return the plan
      */
-    public SeededFates storeFates() {
-        return storeFates;
+    public RandomFatePlan storeFatePlan() {
+        return storeFatePlan;
     }
 
     /**
@@ -169,7 +173,7 @@
      *
      * @return the workers
      */
-    public List<RigWorker> workers() {
+    public List<EmulatedWorker> workers() {
         return workers;
     }
 
@@ -178,7 +182,7 @@
      *
      * @return the processes, also those that are not running
      */
-    public List<EntryProcess> entryVms() {
+    public List<EntryVmProcess> entryVms() {
         return entryVms;
     }
 
@@ -195,8 +199,8 @@
      * Compacts the store's history at a fixed interval, since the history would otherwise grow
      * without limit.
      */
-    private void forgetHistory() {
+    private void compactHistory() {
         store.compact();
-        runtime.schedule(HISTORY_MILLIS, this::forgetHistory);
+        runtime.schedule(COMPACTION_INTERVAL_MILLIS, this::compactHistory);
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RigSettings.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LocalDeploymentSettings.java
@@ -15,7 +15,7 @@
  * @param capacity the resources of each worker
  * @param directory the existing directory for the settings and logs of the entry VMs
  */
-public record RigSettings(
+public record LocalDeploymentSettings(
         Map<String, String> zones, int entryVms, int workers, Resources capacity, Path directory) {
 
     /**
@@ -106,8 +106,8 @@
          *
          * @return the settings
          */
-        public RigSettings build() {
-            return new RigSettings(zones, entryVms, workers, capacity, directory);
+        public LocalDeploymentSettings build() {
+            return new LocalDeploymentSettings(zones, entryVms, workers, capacity, directory);
         }
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/SeededFates.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RandomFatePlan.java
@@ -10,20 +10,20 @@
  * Selects the fault of each call at random. The probabilities of the faults may change while a
  * deployment runs.
  */
-public final class SeededFates implements FatePlan {
+public final class RandomFatePlan implements FatePlan {
 
     /** Selects the faults. */
     private final RandomGenerator random;
 
     /** The probabilities of the faults, 0 to 1. The remaining probability is that of no fault. */
-    private final Map<CallFate, Double> chances = new EnumMap<>(CallFate.class);
+    private final Map<CallFate, Double> probabilities = new EnumMap<>(CallFate.class);
 
     /**
      * Creates a plan without faults.
      *
      * @param random the random number generator that selects the faults
      */
-    public SeededFates(RandomGenerator random) {
+    public RandomFatePlan(RandomGenerator random) {
         this.random = random;
     }
 
@@ -31,19 +31,19 @@
      * Sets the probability of a fault.
      *
      * @param fate the fault
-     * @param chance the probability that a call is affected, 0 to 1; 0 disables the fault
+     * @param probability the probability that a call is affected, 0 to 1; 0 disables the fault
      */
-    public void set(CallFate fate, double chance) {
-        chances.put(fate, chance);
+    public void setProbability(CallFate fate, double probability) {
+        probabilities.put(fate, probability);
     }
 
     @Override
     public CallFate decide(String call) {
         double drawn = random.nextDouble();
-        for (Map.Entry<CallFate, Double> chance : chances.entrySet()) {
-            drawn -= chance.getValue();
+        for (Map.Entry<CallFate, Double> entry : probabilities.entrySet()) {
+            drawn -= entry.getValue();
             if (drawn < 0) {
-                return chance.getKey();
+                return entry.getKey();
             }
         }
         return CallFate.ANSWERED;
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FateFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/CallFault.java
@@ -1,13 +1,13 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.SeededFates;
+import org.damasktiller.lab.rig.RandomFatePlan;
 import org.damasktiller.standin.metadata.CallFate;
 
 /** Injects a fault into a random share of the calls to the store or to a worker. */
-final class FateFault implements Fault {
+final class CallFault implements Fault {
 
     /** The plan that decides which faults affect calls to the service. */
-    private final SeededFates fates;
+    private final RandomFatePlan fatePlan;
 
     /** The name of the store or worker in the report. */
     private final String name;
@@ -16,35 +16,35 @@
     private final CallFate fate;
 
     /** The probability that a call is affected, 0 to 1. */
-    private final double chance;
+    private final double probability;
 
     /**
      * Creates a fault.
      *
-     * @param fates the plan that decides which faults affect calls to the service
+     * @param fatePlan the plan that decides which faults affect calls to the service
      * @param name the name of the store or worker in the report
      * @param fate the fault that affects calls
-     * @param chance the probability that a call is affected, 0 to 1
+     * @param probability the probability that a call is affected, 0 to 1
      */
-    FateFault(SeededFates fates, String name, CallFate fate, double chance) {
-        this.fates = fates;
+    CallFault(RandomFatePlan fatePlan, String name, CallFate fate, double probability) {
+        this.fatePlan = fatePlan;
         this.name = name;
         this.fate = fate;
-        this.chance = chance;
+        this.probability = probability;
     }
 
     @Override
     public void begin() {
-        fates.set(fate, chance);
+        fatePlan.setProbability(fate, probability);
     }
 
     @Override
     public void end() {
-        fates.set(fate, 0);
+        fatePlan.setProbability(fate, 0);
     }
 
     @Override
     public String describe() {
-        return name + " " + fate + " for " + Math.round(chance * 100) + "% of the calls";
+        return name + " " + fate + " for " + Math.round(probability * 100) + "% of the calls";
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/BreakFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/ConnectionFault.java
@@ -6,7 +6,7 @@
  * Breaks connections of a link: closes the open ones, stalls them permanently, or refuses
  * connections until the fault ends.
  */
-final class BreakFault implements Fault {
+final class ConnectionFault implements Fault {
 
     /** The affected link. */
     private final FaultyLink link;
@@ -15,42 +15,42 @@
     private final String name;
 
     /** How connections break. */
-    private final Manner manner;
+    private final Mode mode;
 
     /**
      * Creates a fault.
      *
      * @param link the affected link
      * @param name the name of the link in the report
-     * @param manner how connections break
+     * @param mode how connections break
      */
-    BreakFault(FaultyLink link, String name, Manner manner) {
+    ConnectionFault(FaultyLink link, String name, Mode mode) {
         this.link = link;
         this.name = name;
-        this.manner = manner;
+        this.mode = mode;
     }
 
     @Override
     public void begin() {
-        switch (manner) {
-            case RESET -> link.reset();
-            case SILENCE -> link.silence();
-            default -> link.refuse(true);
+        switch (mode) {
+            case RESET -> link.closeConnections();
+            case SILENCE -> link.stallConnections();
+            default -> link.setRefusing(true);
         }
     }
 
     @Override
     public void end() {
-        link.refuse(false);
+        link.setRefusing(false);
     }
 
     @Override
     public String describe() {
-        return name + " " + manner;
+        return name + " " + mode;
     }
 
     /** How connections break. The constants appear by name in the report. */
-    enum Manner {
+    enum Mode {
         /** The open connections are closed once; new ones work. */
         RESET,
         /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/Fault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/Fault.java
@@ -1,6 +1,6 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.EntryProcess;
+import org.damasktiller.lab.rig.EntryVmProcess;
 
 /**
  * A fault that lasts for a limited time. Several faults may be active at the same time, including
@@ -23,7 +23,7 @@
      * @param entryVm the entry VM
      * @return true if it must not be restarted, false by default
      */
-    default boolean keepsDown(EntryProcess entryVm) {
+    default boolean preventsRestart(EntryVmProcess entryVm) {
         return false;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultDraw.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultGenerator.java
@@ -3,8 +3,8 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.lab.link.LinkState;
-import org.damasktiller.lab.rig.Rig;
-import org.damasktiller.lab.rig.RigWorker;
+import org.damasktiller.lab.rig.EmulatedWorker;
+import org.damasktiller.lab.rig.LocalDeployment;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.standin.metadata.CallFate;
 
@@ -12,24 +12,24 @@
  * Generates random faults of all kinds. The sequence of faults depends on the order of the draws
  * and of the constants and array elements that they select from.
  */
-final class FaultDraw {
+final class FaultGenerator {
 
     /** The exclusive upper bound of the delay of a slow link, in milliseconds. */
-    private static final int LONGEST_DELAY_MILLIS = 1_500;
+    private static final int DELAY_BOUND_MILLIS = 1_500;
 
     /** The time that a draining worker announces until it leaves, in milliseconds. */
-    private static final long DRAIN_MILLIS = 3_000;
+    private static final long DRAIN_NOTICE_MILLIS = 3_000;
 
     /** The exclusive upper bound of the number of routes that a manifest adds. */
-    private static final int MOST_ROUTES = 300;
+    private static final int ADDED_ROUTES_BOUND = 300;
 
     /** The states of a link that are faults. */
-    private static final LinkState[] HARMS = {
+    private static final LinkState[] FAULTY_LINK_STATES = {
         LinkState.SLOW, LinkState.REQUESTS_HELD, LinkState.ANSWERS_HELD, LinkState.HELD
     };
 
     /** The faults that affect calls. */
-    private static final CallFate[] FATES = {
+    private static final CallFate[] FAULTY_CALL_FATES = {
         CallFate.REFUSED, CallFate.LOST, CallFate.ANSWER_LOST, CallFate.LATE
     };
 
@@ -42,7 +42,7 @@
     private final RandomGenerator random;
 
     /** The deployment whose components the faults affect. */
-    private final Rig rig;
+    private final LocalDeployment deployment;
 
     /** The manifest that is in force without a fault. */
     private final Manifest manifest;
@@ -51,12 +51,12 @@
      * Creates a generator.
      *
      * @param random the random number generator that selects the faults and their parameters
-     * @param rig the deployment whose components the faults affect
+     * @param deployment the deployment whose components the faults affect
      * @param manifest the manifest that is in force without a fault
      */
-    FaultDraw(RandomGenerator random, Rig rig, Manifest manifest) {
+    FaultGenerator(RandomGenerator random, LocalDeployment deployment, Manifest manifest) {
         this.random = random;
-        this.rig = rig;
+        this.deployment = deployment;
         this.manifest = manifest;
     }
 
@@ -65,30 +65,41 @@
      *
      * @return the fault, which has not begun
      */
-    Fault next() {
-        return switch (pick(Kind.values())) {
+    Fault nextFault() {
+        return switch (drawOne(FaultTarget.values())) {
             case SIGNAL ->
                     new SignalFault(
-                            rig.entryVms().get(random.nextInt(rig.entryVms().size())),
-                            pick(SIGNALS));
+                            deployment.entryVms().get(random.nextInt(deployment.entryVms().size())),
+                            drawOne(SIGNALS));
             case STORE_LINK -> {
-                int number = random.nextInt(rig.storeLinks().size());
-                yield link(rig.storeLinks().get(number), "link of entry-" + number + " to store");
+                int number = random.nextInt(deployment.storeLinks().size());
+                yield drawLinkFault(
+                        deployment.storeLinks().get(number),
+                        "link of entry-" + number + " to store");
             }
             case WORKER_LINK -> {
-                RigWorker worker = worker();
-                yield link(worker.link(), "link to " + worker.model().id());
+                EmulatedWorker worker = drawWorker();
+                yield drawLinkFault(worker.link(), "link to " + worker.model().id());
             }
             case STORE_CALLS ->
-                    new FateFault(rig.storeFates(), "store", pick(FATES), random.nextDouble());
+                    new CallFault(
+                            deployment.storeFatePlan(),
+                            "store",
+                            drawOne(FAULTY_CALL_FATES),
+                            random.nextDouble());
             case WORKER_CALLS -> {
-                RigWorker worker = worker();
-                yield new FateFault(
-                        worker.fates(), worker.model().id(), pick(FATES), random.nextDouble());
+                EmulatedWorker worker = drawWorker();
+                yield new CallFault(
+                        worker.fatePlan(),
+                        worker.model().id(),
+                        drawOne(FAULTY_CALL_FATES),
+                        random.nextDouble());
             }
-            case WORKER_LIFE -> new WorkerFault(worker(), random.nextBoolean() ? DRAIN_MILLIS : 0);
-            case STORE_STATE -> new StoreFault(rig.store(), random.nextBoolean());
-            case MANIFEST -> new ManifestFault(rig, manifest, random.nextInt(MOST_ROUTES));
+            case WORKER_LIFE ->
+                    new WorkerFault(drawWorker(), random.nextBoolean() ? DRAIN_NOTICE_MILLIS : 0);
+            case STORE_STATE -> new StoreFault(deployment.store(), random.nextBoolean());
+            case MANIFEST ->
+                    new ManifestFault(deployment, manifest, random.nextInt(ADDED_ROUTES_BOUND));
         };
     }
 
@@ -99,11 +110,12 @@
      * @param name the name of the link in the report
      * @return the fault
      */
-    private Fault link(FaultyLink link, String name) {
+    private Fault drawLinkFault(FaultyLink link, String name) {
         if (random.nextBoolean()) {
-            return new BreakFault(link, name, pick(BreakFault.Manner.values()));
+            return new ConnectionFault(link, name, drawOne(ConnectionFault.Mode.values()));
         }
-        return new LinkFault(link, name, pick(HARMS), random.nextInt(LONGEST_DELAY_MILLIS));
+        return new LinkFault(
+                link, name, drawOne(FAULTY_LINK_STATES), random.nextInt(DELAY_BOUND_MILLIS));
     }
 
     /**
@@ -111,8 +123,8 @@
      *
      * @return the worker
      */
-    private RigWorker worker() {
-        return rig.workers().get(random.nextInt(rig.workers().size()));
+    private EmulatedWorker drawWorker() {
+        return deployment.workers().get(random.nextInt(deployment.workers().size()));
     }
 
     /**
@@ -122,14 +134,14 @@
      * @param <T> the type of the values
      * @return the drawn value
      */
-    private <T> T pick(T[] values) {
+    private <T> T drawOne(T[] values) {
         return values[random.nextInt(values.length)];
     }
 
     /**
      * The components that a fault affects. Their order determines which component a draw selects.
      */
-    private enum Kind {
+    private enum FaultTarget {
         /** The process of an entry VM, by a signal. */
         SIGNAL,
         /** The link between an entry VM and the store. */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/LinkFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/LinkFault.java
@@ -36,12 +36,12 @@
 
     @Override
     public void begin() {
-        link.set(state, delayMillis);
+        link.setState(state, delayMillis);
     }
 
     @Override
     public void end() {
-        link.set(LinkState.OPEN, 0);
+        link.setState(LinkState.OPEN, 0);
     }
 
     @Override
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/ManifestFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/ManifestFault.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.damasktiller.lab.rig.Rig;
+import org.damasktiller.lab.rig.LocalDeployment;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 
@@ -12,32 +12,32 @@
 final class ManifestFault implements Fault {
 
     /** The deployment to which the manifests are published. */
-    private final Rig rig;
+    private final LocalDeployment deployment;
 
     /** The manifest without the additional routes. */
-    private final Manifest base;
+    private final Manifest baseManifest;
 
     /** The number of additional routes, which may be 0. */
-    private final int added;
+    private final int addedRoutes;
 
     /**
      * Creates a fault.
      *
-     * @param rig the deployment to which the manifests are published
-     * @param base the manifest without the additional routes
-     * @param added the number of additional routes, which may be 0
+     * @param deployment the deployment to which the manifests are published
+     * @param baseManifest the manifest without the additional routes
+     * @param addedRoutes the number of additional routes, which may be 0
      */
-    ManifestFault(Rig rig, Manifest base, int added) {
-        this.rig = rig;
-        this.base = base;
-        this.added = added;
+    ManifestFault(LocalDeployment deployment, Manifest baseManifest, int addedRoutes) {
+        this.deployment = deployment;
+        this.baseManifest = baseManifest;
+        this.addedRoutes = addedRoutes;
     }
 
     @Override
     public void begin() {
-        List<Route> routes = new ArrayList<>(base.routes());
-        Route first = base.routes().get(0);
-        for (int number = 0; number < added; number++) {
+        List<Route> routes = new ArrayList<>(baseManifest.routes());
+        Route first = baseManifest.routes().get(0);
+        for (int number = 0; number < addedRoutes; number++) {
             routes.add(
                     new Route(
                             "added-" + number,
@@ -50,16 +50,16 @@
                             first.targetLatencyMillis(),
                             false));
         }
-        rig.manifest(base, routes);
+        deployment.publishManifest(baseManifest, routes);
     }
 
     @Override
     public void end() {
-        rig.manifest(base, base.routes());
+        deployment.publishManifest(baseManifest, baseManifest.routes());
     }
 
     @Override
     public String describe() {
-        return "manifest with " + added + " more routes";
+        return "manifest with " + addedRoutes + " more routes";
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
@@ -1,6 +1,6 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.EntryProcess;
+import org.damasktiller.lab.rig.EntryVmProcess;
 
 /**
  * Sends a signal to the process of an entry VM. A process that is suspended by the signal is
@@ -9,7 +9,7 @@
 final class SignalFault implements Fault {
 
     /** The entry VM whose process gets the signal. */
-    private final EntryProcess entryVm;
+    private final EntryVmProcess entryVm;
 
     /** The name of the signal without the prefix SIG. */
     private final String signal;
@@ -20,23 +20,23 @@
      * @param entryVm the entry VM whose process gets the signal
      * @param signal the name of the signal without the prefix SIG
      */
-    SignalFault(EntryProcess entryVm, String signal) {
+    SignalFault(EntryVmProcess entryVm, String signal) {
         this.entryVm = entryVm;
         this.signal = signal;
     }
 
     @Override
     public void begin() {
-        entryVm.signal(signal);
+        entryVm.sendSignal(signal);
     }
 
     @Override
     public void end() {
-        entryVm.signal("CONT");
+        entryVm.sendSignal("CONT");
     }
 
     @Override
-    public boolean keepsDown(EntryProcess other) {
+    public boolean preventsRestart(EntryVmProcess other) {
         return other == entryVm;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
@@ -6,7 +6,7 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.load.CallerLoad;
 import org.damasktiller.lab.load.WorkItem;
-import org.damasktiller.lab.rig.Rig;
+import org.damasktiller.lab.rig.LocalDeployment;
 import org.damasktiller.scheduler.model.IngressLimits;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
@@ -19,28 +19,28 @@
 final class SoakLoad {
 
     /** The number of failed runs of a task after which its submission fails. */
-    static final int ATTEMPTS = 3;
+    static final int MAX_ATTEMPTS = 3;
 
     /**
      * The mean interval between two submissions, in milliseconds; also the interval at which the
      * acceptance of a submission to cancel is checked.
      */
-    private static final int INTERVAL_MILLIS = 150;
+    private static final int MEAN_INTERVAL_MILLIS = 150;
 
     /** The maximum estimated duration of a task, in milliseconds. */
-    private static final int LONGEST_TASK_MILLIS = 900;
+    private static final int MAX_TASK_MILLIS = 900;
 
     /** The maximum number of tasks in a step; also the number of different images. */
-    private static final int MOST_TASKS = 4;
+    private static final int MAX_TASK_COUNT = 4;
 
     /** The probability that a submission is long-running. */
-    private static final double LASTING_CHANCE = 0.05;
+    private static final double LONG_RUNNING_PROBABILITY = 0.05;
 
     /** The probability that a submission is cancelled, also of one that is long-running. */
-    private static final double CANCEL_CHANCE = 0.1;
+    private static final double CANCEL_PROBABILITY = 0.1;
 
     /** The exclusive upper bound of the delay until a submission is cancelled, in milliseconds. */
-    private static final int LONGEST_CANCEL_MILLIS = 3_000;
+    private static final int CANCEL_DELAY_BOUND_MILLIS = 3_000;
 
     /**
      * The time that the latency objective of the urgent route adds to the critical path, in
@@ -55,13 +55,13 @@
     private static final long BATCH_TARGET_MILLIS = 2_000;
 
     /** The maximum size of the body of a submission, in bytes. */
-    private static final int BODY_BYTES = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     /** The time after which an idle connection of a caller is closed, in milliseconds. */
-    private static final long IDLE_MILLIS = 30_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
     /** The resources that each task needs: this number of millicores and of megabytes. */
-    private static final long TASK_SIZE = 1_000;
+    private static final long TASK_MILLICORES_AND_MEGABYTES = 1_000;
 
     /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
@@ -70,25 +70,25 @@
     private final RandomGenerator random;
 
     /** Sends the submissions and tracks their states. */
-    private final CallerLoad load;
+    private final CallerLoad callers;
 
     /** The manifest with the routes of the submissions. */
-    private final Manifest manifest = manifest();
+    private final Manifest manifest = createManifest();
 
     /** Whether the load has stopped. */
-    private boolean over;
+    private boolean stopped;
 
     /**
      * Creates a load that has not started.
      *
      * @param runtime the clock and timers of the event loop
      * @param random the random number generator that draws the load
-     * @param load sends the submissions and tracks their states
+     * @param callers sends the submissions and tracks their states
      */
-    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerLoad load) {
+    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerLoad callers) {
         this.runtime = runtime;
         this.random = random;
-        this.load = load;
+        this.callers = callers;
     }
 
     /**
@@ -96,23 +96,23 @@
      *
      * @return a manifest with an urgent and a batch route
      */
-    static Manifest manifest() {
+    static Manifest createManifest() {
         return new Manifest(
                 1,
                 List.of(
-                        route("urgent", 0, URGENT_TARGET_MILLIS),
-                        route("batch", 1, BATCH_TARGET_MILLIS)),
-                Set.of(Rig.SERVICE),
-                new IngressLimits(BODY_BYTES, IDLE_MILLIS));
+                        createRoute("urgent", 0, URGENT_TARGET_MILLIS),
+                        createRoute("batch", 1, BATCH_TARGET_MILLIS)),
+                Set.of(LocalDeployment.SERVICE),
+                new IngressLimits(MAX_BODY_BYTES, IDLE_TIMEOUT_MILLIS));
     }
 
     /** Sends submissions at random intervals until {@link #stop()} is called. */
     void run() {
-        if (over) {
+        if (stopped) {
             return;
         }
-        sendOne();
-        runtime.schedule(random.nextInt(2 * INTERVAL_MILLIS), this::run);
+        sendNext();
+        runtime.schedule(random.nextInt(2 * MEAN_INTERVAL_MILLIS), this::run);
     }
 
     /**
@@ -120,18 +120,25 @@
      * long-running ones continue.
      */
     void stop() {
-        over = true;
+        stopped = true;
     }
 
     /** Draws and sends a submission, and schedules its cancellation if one is drawn. */
-    private void sendOne() {
-        boolean lasting = random.nextDouble() < LASTING_CHANCE;
+    private void sendNext() {
+        boolean longRunning = random.nextDouble() < LONG_RUNNING_PROBABILITY;
         Route route = manifest.routes().get(random.nextInt(manifest.routes().size()));
         Submission submission =
-                new Submission(load.nextId(), "soak", lasting ? lasting() : steps(), 0, 0, 0);
-        WorkItem item = load.send(route, submission);
-        if (random.nextDouble() < CANCEL_CHANCE) {
-            runtime.schedule(random.nextInt(LONGEST_CANCEL_MILLIS), () -> cancelOnceAccepted(item));
+                new Submission(
+                        callers.nextId(),
+                        "soak",
+                        longRunning ? drawLongRunningSteps() : drawSteps(),
+                        0,
+                        0,
+                        0);
+        WorkItem item = callers.send(route, submission);
+        if (random.nextDouble() < CANCEL_PROBABILITY) {
+            runtime.schedule(
+                    random.nextInt(CANCEL_DELAY_BOUND_MILLIS), () -> cancelOnceAccepted(item));
         }
     }
 
@@ -143,9 +150,9 @@
      */
     private void cancelOnceAccepted(WorkItem item) {
         if (item.accepted()) {
-            load.cancel(item);
+            callers.cancel(item);
         } else if (!item.settled()) {
-            runtime.schedule(INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
+            runtime.schedule(MEAN_INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
         }
     }
 
@@ -154,11 +161,11 @@
      *
      * @return one step, or two of which the second depends on the first
      */
-    private List<StepSpec> steps() {
+    private List<StepSpec> drawSteps() {
         List<StepSpec> steps = new ArrayList<>();
-        steps.add(step(List.of()));
+        steps.add(drawStep(List.of()));
         if (random.nextBoolean()) {
-            steps.add(step(List.of(0)));
+            steps.add(drawStep(List.of(0)));
         }
         return steps;
     }
@@ -169,12 +176,12 @@
      * @param after the numbers of the steps that must complete before this one starts
      * @return the step
      */
-    private StepSpec step(List<Integer> after) {
-        return StepSpec.builder(1 + random.nextInt(MOST_TASKS), size())
-                .estimateMillis(1L + random.nextInt(LONGEST_TASK_MILLIS))
+    private StepSpec drawStep(List<Integer> after) {
+        return StepSpec.builder(1 + random.nextInt(MAX_TASK_COUNT), taskResources())
+                .estimateMillis(1L + random.nextInt(MAX_TASK_MILLIS))
                 .after(after)
                 .filling(random.nextBoolean())
-                .image("image-" + random.nextInt(MOST_TASKS))
+                .image("image-" + random.nextInt(MAX_TASK_COUNT))
                 .build();
     }
 
@@ -183,9 +190,12 @@
      *
      * @return the step
      */
-    private List<StepSpec> lasting() {
+    private List<StepSpec> drawLongRunningSteps() {
         return List.of(
-                StepSpec.builder(1 + random.nextInt(2), size()).lasting(true).mayMiss(1).build());
+                StepSpec.builder(1 + random.nextInt(2), taskResources())
+                        .lasting(true)
+                        .mayMiss(1)
+                        .build());
     }
 
     /**
@@ -197,15 +207,15 @@
      *     milliseconds
      * @return the route
      */
-    private static Route route(String name, int priority, long targetMillis) {
+    private static Route createRoute(String name, int priority, long targetMillis) {
         String prefix = '/' + name + '/';
         return new Route(
                 name,
                 "soak.example",
                 prefix,
-                Rig.SERVICE,
+                LocalDeployment.SERVICE,
                 priority,
-                ATTEMPTS,
+                MAX_ATTEMPTS,
                 2,
                 targetMillis,
                 false);
@@ -216,7 +226,7 @@
      *
      * @return the resources
      */
-    private static Resources size() {
-        return new Resources(TASK_SIZE, TASK_SIZE, 0);
+    private static Resources taskResources() {
+        return new Resources(TASK_MILLICORES_AND_MEGABYTES, TASK_MILLICORES_AND_MEGABYTES, 0);
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -14,10 +14,10 @@
 import org.damasktiller.lab.load.CallerLoad;
 import org.damasktiller.lab.load.PromiseCheck;
 import org.damasktiller.lab.load.SubmittedWork;
-import org.damasktiller.lab.rig.EntryProcess;
-import org.damasktiller.lab.rig.LabLoop;
-import org.damasktiller.lab.rig.Rig;
-import org.damasktiller.lab.rig.RigSettings;
+import org.damasktiller.lab.rig.EntryVmProcess;
+import org.damasktiller.lab.rig.LabEventLoop;
+import org.damasktiller.lab.rig.LocalDeployment;
+import org.damasktiller.lab.rig.LocalDeploymentSettings;
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
@@ -31,40 +31,40 @@
 public final class SoakRun {
 
     /** The time that the deployment runs before the first fault, in milliseconds. */
-    private static final long CALM_MILLIS = 4_000;
+    private static final long WARM_UP_MILLIS = 4_000;
 
     /** The exclusive upper bound of the time between the starts of two faults, in milliseconds. */
-    private static final int LONGEST_GAP_MILLIS = 1_500;
+    private static final int FAULT_GAP_BOUND_MILLIS = 1_500;
 
     /** The minimum duration of a fault, in milliseconds. */
-    private static final long SHORTEST_FAULT_MILLIS = 200;
+    private static final long MIN_FAULT_MILLIS = 200;
 
     /**
      * The exclusive upper bound of the random time that is added to the minimum duration of a
      * fault, in milliseconds.
      */
-    private static final int LONGEST_FAULT_MILLIS = 8_000;
+    private static final int EXTRA_FAULT_BOUND_MILLIS = 8_000;
 
     /** The interval between two checks of the guarantees, in milliseconds. */
-    private static final long CHECK_MILLIS = 1_000;
+    private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
     /**
      * The maximum time that accepted submissions get to finish after the phase in which faults
      * begin, in milliseconds.
      */
-    private static final long FINISH_MILLIS = 90_000;
+    private static final long FINISH_TIMEOUT_MILLIS = 90_000;
 
     /** The timeout of a caller's request, in milliseconds. */
-    private static final long CALL_MILLIS = 3_000;
+    private static final long CALL_TIMEOUT_MILLIS = 3_000;
 
     /** The probability that a run fails, 0 to 1. */
-    private static final double FAILURE_CHANCE = 0.02;
+    private static final double FAILURE_PROBABILITY = 0.02;
 
     /** The number of milliseconds in a second. */
     private static final long MILLIS_PER_SECOND = 1_000;
 
     /** The name of the event that an entry VM logs for an unchecked exception. */
-    private static final String FAULT_EVENT = "program.fault";
+    private static final String EXCEPTION_EVENT = "program.fault";
 
     /** The settings of the run. */
     private final SoakSettings settings;
@@ -73,7 +73,7 @@
     private final PrintStream output;
 
     /** The event loop of the emulated services, the callers and the faults. */
-    private final LabLoop loop;
+    private final LabEventLoop loop;
 
     /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
@@ -87,10 +87,10 @@
     private final RandomGenerator random;
 
     /** Records the runs of the workers and detects violations. */
-    private final RunAudit audit = new RunAudit(SoakLoad.ATTEMPTS);
+    private final RunAudit audit = new RunAudit(SoakLoad.MAX_ATTEMPTS);
 
     /** The emulated services and the processes of the entry VMs. */
-    private final Rig rig;
+    private final LocalDeployment deployment;
 
     /** Sends the submissions and tracks their states. */
     private final CallerLoad callers;
@@ -99,22 +99,22 @@
     private final SoakLoad load;
 
     /** The manifest that is in force without a fault. */
-    private final Manifest manifest = SoakLoad.manifest();
+    private final Manifest manifest = SoakLoad.createManifest();
 
     /** Checks the guarantees of the scheduler. */
-    private final PromiseCheck check;
+    private final PromiseCheck promiseCheck;
 
     /** Generates the faults. */
-    private final FaultDraw draw;
+    private final FaultGenerator faultGenerator;
 
     /** The faults that have begun and not ended. */
-    private final List<Fault> active = new ArrayList<>();
+    private final List<Fault> activeFaults = new ArrayList<>();
 
     /** The unchecked exceptions of scheduled actions in this process, one line each. */
-    private final List<String> ownFaults = new ArrayList<>();
+    private final List<String> uncheckedExceptions = new ArrayList<>();
 
     /** The number of faults that have begun. */
-    private int faults;
+    private int faultCount;
 
     /** The time on the monotonic clock from which no more faults begin, in milliseconds. */
     private long faultsEndMillis;
@@ -128,23 +128,29 @@
     public SoakRun(SoakSettings settings, PrintStream output) {
         this.settings = settings;
         this.output = output;
-        this.directory = directory(settings);
+        this.directory = createDirectory(settings);
         random = new Well19937c(settings.seed());
-        loop = new LabLoop("soak", ownFaults::add);
+        loop = new LabEventLoop("soak", uncheckedExceptions::add);
         runtime = loop.runtime();
-        SubmittedWork work = new SubmittedWork(random, FAILURE_CHANCE);
-        RigSettings size = RigSettings.builder(directory).build();
-        rig = loop.await(made -> made.complete(new Rig(loop, size, work, audit, random)));
+        SubmittedWork work = new SubmittedWork(random, FAILURE_PROBABILITY);
+        LocalDeploymentSettings deploymentSettings =
+                LocalDeploymentSettings.builder(directory).build();
+        deployment =
+                loop.await(
+                        created ->
+                                created.complete(
+                                        new LocalDeployment(
+                                                loop, deploymentSettings, work, audit, random)));
         callers =
                 new CallerLoad(
                         runtime,
-                        new CallerClient(loop.eventloop(), CALL_MILLIS),
-                        rig.entryVms().stream().map(EntryProcess::callers).toList(),
+                        new CallerClient(loop.eventloop(), CALL_TIMEOUT_MILLIS),
+                        deployment.entryVms().stream().map(EntryVmProcess::callerAddress).toList(),
                         random,
                         work);
         load = new SoakLoad(runtime, random, callers);
-        check = new PromiseCheck(callers, audit, work);
-        draw = new FaultDraw(random, rig, manifest);
+        promiseCheck = new PromiseCheck(callers, audit, work);
+        faultGenerator = new FaultGenerator(random, deployment, manifest);
     }
 
     /**
@@ -153,19 +159,19 @@
      * @return true if no violation and no unchecked exception was found
      */
     public boolean run() {
-        List<String> found;
+        List<String> violations;
         try (loop) {
-            found = new ArrayList<>(loop.await(this::begin));
+            violations = new ArrayList<>(loop.await(this::startDeploymentAndLoad));
         } finally {
-            rig.kill();
+            deployment.kill();
         }
-        found.addAll(ownFaults);
-        found.addAll(faultsInLogs());
+        violations.addAll(uncheckedExceptions);
+        violations.addAll(findExceptionsInLogs());
         output.printf(
                 "seed %d: %d faults, %d submissions, %d violations%n",
-                settings.seed(), faults, callers.items().size(), found.size());
-        found.forEach(line -> output.println("  violation: " + line));
-        return found.isEmpty();
+                settings.seed(), faultCount, callers.items().size(), violations.size());
+        violations.forEach(line -> output.println("  violation: " + line));
+        return violations.isEmpty();
     }
 
     /**
@@ -173,34 +179,34 @@
      *
      * @param result completed with the violations at the end of the soak
      */
-    private void begin(CompletableFuture<List<String>> result) {
-        rig.manifest(manifest, manifest.routes());
-        rig.start();
+    private void startDeploymentAndLoad(CompletableFuture<List<String>> result) {
+        deployment.publishManifest(manifest, manifest.routes());
+        deployment.start();
         load.run();
         faultsEndMillis =
-                runtime.nowMillis() + CALM_MILLIS + settings.seconds() * MILLIS_PER_SECOND;
-        runtime.schedule(CALM_MILLIS, this::nextFault);
-        runtime.schedule(CHECK_MILLIS, () -> check(result));
+                runtime.nowMillis() + WARM_UP_MILLIS + settings.seconds() * MILLIS_PER_SECOND;
+        runtime.schedule(WARM_UP_MILLIS, this::beginNextFault);
+        runtime.schedule(CHECK_INTERVAL_MILLIS, () -> checkGuarantees(result));
     }
 
     /** Begins a fault, and schedules its end and the next fault. */
-    private void nextFault() {
+    private void beginNextFault() {
         if (runtime.nowMillis() >= faultsEndMillis) {
             return;
         }
-        Fault fault = draw.next();
-        faults++;
-        active.add(fault);
-        long lasts = SHORTEST_FAULT_MILLIS + random.nextInt(LONGEST_FAULT_MILLIS);
-        output.printf("  %s for %d ms%n", fault.describe(), lasts);
+        Fault fault = faultGenerator.nextFault();
+        faultCount++;
+        activeFaults.add(fault);
+        long durationMillis = MIN_FAULT_MILLIS + random.nextInt(EXTRA_FAULT_BOUND_MILLIS);
+        output.printf("  %s for %d ms%n", fault.describe(), durationMillis);
         fault.begin();
         runtime.schedule(
-                lasts,
+                durationMillis,
                 () -> {
                     fault.end();
-                    active.remove(fault);
+                    activeFaults.remove(fault);
                 });
-        runtime.schedule(random.nextInt(LONGEST_GAP_MILLIS), this::nextFault);
+        runtime.schedule(random.nextInt(FAULT_GAP_BOUND_MILLIS), this::beginNextFault);
     }
 
     /**
@@ -209,23 +215,23 @@
      *
      * @param result completed with the violations at the end of the soak
      */
-    private void check(CompletableFuture<List<String>> result) {
-        List<String> found = check.violations();
-        boolean calm = runtime.nowMillis() > faultsEndMillis && active.isEmpty();
-        if (calm) {
+    private void checkGuarantees(CompletableFuture<List<String>> result) {
+        List<String> violations = promiseCheck.violations();
+        boolean allFaultsEnded = runtime.nowMillis() > faultsEndMillis && activeFaults.isEmpty();
+        if (allFaultsEnded) {
             load.stop();
         }
-        found.addAll(restart());
-        List<String> unfinished = check.unfinished();
-        boolean late = runtime.nowMillis() > faultsEndMillis + FINISH_MILLIS;
-        if (late) {
-            found.addAll(unfinished);
+        violations.addAll(restartEndedProcesses());
+        List<String> unfinished = promiseCheck.unfinished();
+        boolean timedOut = runtime.nowMillis() > faultsEndMillis + FINISH_TIMEOUT_MILLIS;
+        if (timedOut) {
+            violations.addAll(unfinished);
         }
-        if (!found.isEmpty() || (calm && unfinished.isEmpty())) {
-            result.complete(found);
+        if (!violations.isEmpty() || (allFaultsEnded && unfinished.isEmpty())) {
+            result.complete(violations);
             return;
         }
-        runtime.schedule(CHECK_MILLIS, () -> check(result));
+        runtime.schedule(CHECK_INTERVAL_MILLIS, () -> checkGuarantees(result));
     }
 
     /**
@@ -233,19 +239,20 @@
      *
      * @return a line for each process that ended without having been requested to
      */
-    private List<String> restart() {
-        List<String> found = new ArrayList<>();
-        for (EntryProcess entryVm : rig.entryVms()) {
-            if (entryVm.alive() || active.stream().anyMatch(fault -> fault.keepsDown(entryVm))) {
+    private List<String> restartEndedProcesses() {
+        List<String> violations = new ArrayList<>();
+        for (EntryVmProcess entryVm : deployment.entryVms()) {
+            if (entryVm.isAlive()
+                    || activeFaults.stream().anyMatch(fault -> fault.preventsRestart(entryVm))) {
                 continue;
             }
-            if (!entryVm.toldToEnd()) {
-                found.add(
+            if (!entryVm.terminationRequested()) {
+                violations.add(
                         entryVm.name() + ": exited unexpectedly, exit code " + entryVm.exitCode());
             }
             entryVm.start();
         }
-        return found;
+        return violations;
     }
 
     /**
@@ -253,16 +260,18 @@
      *
      * @return the first such line of each log
      */
-    private List<String> faultsInLogs() {
-        List<String> found = new ArrayList<>();
-        for (EntryProcess entryVm : rig.entryVms()) {
-            try (Stream<String> lines = Files.lines(entryVm.log())) {
-                lines.filter(line -> line.contains(FAULT_EVENT)).limit(1).forEach(found::add);
+    private List<String> findExceptionsInLogs() {
+        List<String> exceptionLines = new ArrayList<>();
+        for (EntryVmProcess entryVm : deployment.entryVms()) {
+            try (Stream<String> lines = Files.lines(entryVm.logFile())) {
+                lines.filter(line -> line.contains(EXCEPTION_EVENT))
+                        .limit(1)
+                        .forEach(exceptionLines::add);
             } catch (IOException exception) {
                 throw new UncheckedIOException(exception);
             }
         }
-        return found;
+        return exceptionLines;
     }
 
     /**
@@ -271,7 +280,7 @@
      * @param settings the settings of the run
      * @return the path of the directory
      */
-    private static Path directory(SoakSettings settings) {
+    private static Path createDirectory(SoakSettings settings) {
         Path path = Path.of(settings.directory(), "seed-" + settings.seed());
         try {
             return Files.createDirectories(path);
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
@@ -1,6 +1,6 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.RigWorker;
+import org.damasktiller.lab.rig.EmulatedWorker;
 
 /**
  * Crashes a worker immediately, or drains it and crashes it when the fault ends. The worker boots
@@ -9,7 +9,7 @@
 final class WorkerFault implements Fault {
 
     /** The affected worker. */
-    private final RigWorker worker;
+    private final EmulatedWorker worker;
 
     /**
      * The time until the worker leaves that it announces when draining, in milliseconds; 0 for an
@@ -24,7 +24,7 @@
      * @param drainMillis the time until the worker leaves that it announces when draining, in
      *     milliseconds; 0 for an immediate crash
      */
-    WorkerFault(RigWorker worker, long drainMillis) {
+    WorkerFault(EmulatedWorker worker, long drainMillis) {
         this.worker = worker;
         this.drainMillis = drainMillis;
     }
@@ -43,7 +43,7 @@
         if (drainMillis > 0) {
             worker.restart();
         } else {
-            worker.comeBack();
+            worker.bootIfCrashed();
         }
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.identity.ZoneName;
-import org.damasktiller.lab.rig.LabLoop;
+import org.damasktiller.lab.rig.LabEventLoop;
 import org.damasktiller.platform.call.PlatformCaller;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.table.TableRepository;
@@ -19,7 +19,7 @@
     private static final long STORE_MILLIS = 5_000;
 
     /** The loop. */
-    private final LabLoop loop = new LabLoop("table", System.err::println);
+    private final LabEventLoop loop = new LabEventLoop("table", System.err::println);
 
     /** The table. */
     private final TableRepository repository;
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
@@ -75,14 +75,14 @@
                 Socket peer = server.accept()) {
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
-            eventloop.submit(link::reset).join();
+            eventloop.submit(link::closeConnections).join();
             assertThat(client.getInputStream().read(), is(-1));
         }
     }
 
     @Test
     void refusesNewConnections() throws IOException {
-        eventloop.submit(() -> link.refuse(true)).join();
+        eventloop.submit(() -> link.setRefusing(true)).join();
         try (Socket client = connect()) {
             assertThat(client.getInputStream().read(), is(-1));
         }
@@ -94,7 +94,7 @@
                 Socket peer = server.accept()) {
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
-            eventloop.submit(link::silence).join();
+            eventloop.submit(link::stallConnections).join();
             send(peer, "answer");
             client.setSoTimeout(300);
             assertThrows(IOException.class, () -> client.getInputStream().read());
@@ -109,7 +109,7 @@
     }
 
     private void set(LinkState state) {
-        eventloop.submit(() -> link.set(state, 0)).join();
+        eventloop.submit(() -> link.setState(state, 0)).join();
     }
 
     private static void send(Socket socket, String text) throws IOException {
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/table/TableSessionTest.java
@@ -11,7 +11,7 @@
 import org.damasktiller.error.ErrorCode;
 import org.damasktiller.identity.KindName;
 import org.damasktiller.lab.rig.Deployment;
-import org.damasktiller.lab.rig.LabLoop;
+import org.damasktiller.lab.rig.LabEventLoop;
 import org.damasktiller.platform.emulator.LoopbackServer;
 import org.damasktiller.platform.emulator.OperatorFormats;
 import org.damasktiller.platform.emulator.StoreServlet;
@@ -38,7 +38,7 @@
 
     private static final String THIRD = FIRST.replace(",40", ",50");
 
-    private final LabLoop platform = new LabLoop("table-test", System.err::println);
+    private final LabEventLoop platform = new LabEventLoop("table-test", System.err::println);
 
     private final TableSession session =
             new TableSession(
