--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultGenerator.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultGenerator.java
@@ -119,7 +119,7 @@
     }
 
     /**
-     * Draws a worker with equal probability for each.
+     * Draws a worker. All workers are equally likely.
      *
      * @return the worker
      */
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Draws one of several values with equal probability for each.
+     * Draws one of several values. All values are equally likely.
      *
      * @param values the values
      * @param <T> the type of the values
@@ -139,7 +139,8 @@
     }
 
     /**
-     * The components that a fault affects. Their order determines which component a draw selects.
+     * The components that a fault may affect. Their order determines which component a draw
+     * selects.
      */
     private enum FaultTarget {
         /** The process of an entry VM, by a signal. */
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -37,13 +37,13 @@
     private static final int FAULT_GAP_BOUND_MILLIS = 1_500;
 
     /** The minimum duration of a fault, in milliseconds. */
-    private static final long MIN_FAULT_MILLIS = 200;
+    private static final long MIN_FAULT_DURATION_MILLIS = 200;
 
     /**
      * The exclusive upper bound of the random time that is added to the minimum duration of a
      * fault, in milliseconds.
      */
-    private static final int EXTRA_FAULT_BOUND_MILLIS = 8_000;
+    private static final int EXTRA_DURATION_BOUND_MILLIS = 8_000;
 
     /** The interval between two checks of the guarantees, in milliseconds. */
     private static final long CHECK_INTERVAL_MILLIS = 1_000;
@@ -197,7 +197,8 @@
         Fault fault = faultGenerator.nextFault();
         faultCount++;
         activeFaults.add(fault);
-        long durationMillis = MIN_FAULT_MILLIS + random.nextInt(EXTRA_FAULT_BOUND_MILLIS);
+        long durationMillis =
+                MIN_FAULT_DURATION_MILLIS + random.nextInt(EXTRA_DURATION_BOUND_MILLIS);
         output.printf("  %s for %d ms%n", fault.describe(), durationMillis);
         fault.begin();
         runtime.schedule(
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
@@ -20,7 +20,7 @@
 /** Tests the faults of a link on connections of plain sockets. */
 class FaultyLinkTest {
 
-    private static final int READ_MILLIS = 60_000;
+    private static final int READ_TIMEOUT_MILLIS = 60_000;
 
     private final Eventloop eventloop = EventLoops.start("link-test");
 
@@ -33,9 +33,9 @@
         server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         InetSocketAddress target =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-        CompletableFuture<FaultyLink> made = new CompletableFuture<>();
-        eventloop.execute(() -> made.complete(new FaultyLink(eventloop, target)));
-        link = made.join();
+        CompletableFuture<FaultyLink> created = new CompletableFuture<>();
+        eventloop.execute(() -> created.complete(new FaultyLink(eventloop, target)));
+        link = created.join();
     }
 
     @AfterEach
@@ -57,20 +57,20 @@
     }
 
     @Test
-    void holdsAnswersBackUntilItIsOpenAgain() throws IOException {
+    void holdsAnswersUntilItIsOpenAgain() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
-            set(LinkState.ANSWERS_HELD);
+            setState(LinkState.ANSWERS_HELD);
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
             send(peer, "answer");
-            set(LinkState.OPEN);
+            setState(LinkState.OPEN);
             assertThat(receive(client, 6), is("answer"));
         }
     }
 
     @Test
-    void resetEndsOpenConnections() throws IOException {
+    void closesOpenConnections() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
             send(client, "request");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void silentConnectionStaysSilentAndNewOnesWork() throws IOException {
+    void stalledConnectionForwardsNothingAndNewOnesWork() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
             send(client, "request");
@@ -104,11 +104,11 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), link.address().getPort());
-        socket.setSoTimeout(READ_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         return socket;
     }
 
-    private void set(LinkState state) {
+    private void setState(LinkState state) {
         eventloop.submit(() -> link.setState(state, 0)).join();
     }
 
