--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -27,7 +27,7 @@
 import org.damasktiller.scheduler.model.StepSpec;
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.model.SubmissionState;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 import org.damasktiller.table.KindOfWork;
 import org.damasktiller.table.OperatorTable;
 
@@ -75,7 +75,8 @@
     private final LabEventLoop loop;
 
     /** Records the runs of the workers and detects violations. */
-    private final RunAudit audit = new RunAudit(TableManifest.ATTEMPTS);
+    private final RunInvariantChecker invariantChecker =
+            new RunInvariantChecker(TableManifest.ATTEMPTS);
 
     /** The submissions that callers have sent; determines the behaviour of their tasks. */
     private final SubmittedWork work;
@@ -119,7 +120,8 @@
                 loop.await(
                         created ->
                                 created.complete(
-                                        new LocalDeployment(loop, settings, work, audit, random)));
+                                        new LocalDeployment(
+                                                loop, settings, work, invariantChecker, random)));
         load =
                 new CallerLoad(
                         loop.runtime(),
@@ -226,7 +228,7 @@
                             .count(),
                     items.stream().filter(WorkItem::refused).count());
         }
-        PromiseCheck promiseCheck = new PromiseCheck(load, audit, work);
+        PromiseCheck promiseCheck = new PromiseCheck(load, invariantChecker, work);
         List<String> violations =
                 loop.await(
                         result -> {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryVmProcess.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryVmProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.damasktiller.node.process.Main;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.jspecify.annotations.Nullable;
 
 /** Starts, signals and restarts the process that runs the program of one entry VM. */
@@ -63,7 +63,8 @@
         this.settingsFile = directory.resolve(name + ".conf");
         this.logFile = directory.resolve(name + ".log");
         List<String> lines =
-                OperatorFormats.settings(name, zone, zones, callerAddress, freeAddress(), store);
+                PlatformRecordEncoder.settingsLines(
+                        name, zone, zones, callerAddress, freeAddress(), store);
         try {
             Files.write(settingsFile, lines);
         } catch (IOException exception) {
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LocalDeployment.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LocalDeployment.java
@@ -7,18 +7,18 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.platform.emulator.LoopbackServer;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.platform.emulator.StoreServlet;
 import org.damasktiller.platform.emulator.WorkerServlet;
-import org.damasktiller.platform.record.PlatformRecords;
+import org.damasktiller.platform.record.JsonPlatformRecordDecoder;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreTransaction;
 import org.damasktiller.standin.fleet.RunObserver;
+import org.damasktiller.standin.fleet.SimulatedWorker;
 import org.damasktiller.standin.fleet.TaskBehaviour;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /**
  * Runs a deployment on the local machine. The store and the workers are emulated in this process,
@@ -32,7 +32,7 @@
     public static final String SERVICE = "workers";
 
     /** Provides the keys of the records that the operator and the workers write to the store. */
-    static final PlatformRecords RECORDS = new PlatformRecords();
+    static final JsonPlatformRecordDecoder RECORD_DECODER = new JsonPlatformRecordDecoder();
 
     /**
      * The delay after which a late call is executed, in milliseconds; long enough that the client
@@ -50,13 +50,13 @@
     private final ProcessRuntime runtime;
 
     /** The state of the emulated store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** Decides which faults affect calls to the store. */
-    private final RandomFatePlan storeFatePlan;
+    private final RandomFaultPlan storeFaultPlan;
 
     /** The emulated workers. */
-    private final List<EmulatedWorker> workers = new ArrayList<>();
+    private final List<LocalWorker> workers = new ArrayList<>();
 
     /** The processes of the entry VMs. */
     private final List<EntryVmProcess> entryVms = new ArrayList<>();
@@ -84,28 +84,30 @@
             RandomGenerator random) {
         eventloop = loop.eventloop();
         runtime = loop.runtime();
-        store = new StoreModel(runtime);
-        storeFatePlan = new RandomFatePlan(random);
+        store = new InMemoryStore(runtime);
+        storeFaultPlan = new RandomFaultPlan(random);
         InetSocketAddress storeAddress =
                 LoopbackServer.start(
                         eventloop,
-                        new StoreServlet(store, runtime, storeFatePlan, LATE_CALL_DELAY_MILLIS));
+                        new StoreServlet(store, runtime, storeFaultPlan, LATE_CALL_DELAY_MILLIS));
         for (int number = 0; number < settings.workers(); number++) {
-            WorkerModel model =
-                    new WorkerModel(
+            SimulatedWorker simulatedWorker =
+                    new SimulatedWorker(
                             String.format("worker-%03d", number),
                             settings.capacity(),
                             runtime,
                             behaviour,
                             observer);
-            RandomFatePlan fatePlan = new RandomFatePlan(random);
+            RandomFaultPlan faultPlan = new RandomFaultPlan(random);
             InetSocketAddress address =
                     LoopbackServer.start(
                             eventloop,
-                            new WorkerServlet(model, runtime, fatePlan, LATE_CALL_DELAY_MILLIS));
+                            new WorkerServlet(
+                                    simulatedWorker, runtime, faultPlan, LATE_CALL_DELAY_MILLIS));
             FaultyLink link = new FaultyLink(eventloop, address);
-            EmulatedWorker worker =
-                    new EmulatedWorker(runtime, model, link, fatePlan, store, settings, number);
+            LocalWorker worker =
+                    new LocalWorker(
+                            runtime, simulatedWorker, link, faultPlan, store, settings, number);
             worker.register(false, 0);
             workers.add(worker);
         }
@@ -147,7 +149,9 @@
         Manifest published = new Manifest(manifestVersion, routes, base.services(), base.limits());
         store.commit(
                 new StoreTransaction()
-                        .put(RECORDS.manifestKey(), OperatorFormats.manifest(published)));
+                        .put(
+                                RECORD_DECODER.manifestKey(),
+                                PlatformRecordEncoder.encodeManifest(published)));
     }
 
     /**
@@ -155,7 +159,7 @@
      *
      * @return the store
      */
-    public StoreModel store() {
+    public InMemoryStore store() {
         return store;
     }
 
@@ -164,8 +168,8 @@
      *
      * @return the plan
      */
-    public RandomFatePlan storeFatePlan() {
-        return storeFatePlan;
+    public RandomFaultPlan storeFaultPlan() {
+        return storeFaultPlan;
     }
 
     /**
@@ -173,7 +177,7 @@
      *
      * @return the workers
      */
-    public List<EmulatedWorker> workers() {
+    public List<LocalWorker> workers() {
         return workers;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EmulatedWorker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/LocalWorker.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 import org.damasktiller.lab.link.FaultyLink;
-import org.damasktiller.platform.emulator.OperatorFormats;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
 import org.damasktiller.scheduler.model.Resources;
 import org.damasktiller.scheduler.model.WorkerEntry;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreTransaction;
-import org.damasktiller.standin.fleet.WorkerModel;
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.fleet.SimulatedWorker;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /**
  * Manages an emulated worker of a local deployment: its state, the link in front of it, the faults
  * of calls to it and its registration in the store.
  */
-public final class EmulatedWorker {
+public final class LocalWorker {
 
     /** The number of workers in each rack. */
     private static final int WORKERS_PER_RACK = 4;
@@ -26,16 +26,16 @@
     private final ProcessRuntime runtime;
 
     /** The state of the worker. */
-    private final WorkerModel model;
+    private final SimulatedWorker simulatedWorker;
 
     /** The link through which entry VMs reach the worker. */
     private final FaultyLink link;
 
     /** Decides which faults affect calls to the worker. */
-    private final RandomFatePlan fatePlan;
+    private final RandomFaultPlan faultPlan;
 
     /** The state of the emulated store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** The availability zone of the worker. */
     private final String zone;
@@ -50,25 +50,25 @@
      * Creates a worker that is not registered in the store yet.
      *
      * @param runtime the clock and timers of the event loop
-     * @param model the state of the worker
+     * @param simulatedWorker the state of the worker
      * @param link the link through which entry VMs reach the worker
-     * @param fatePlan decides which faults affect calls to the worker
+     * @param faultPlan decides which faults affect calls to the worker
      * @param store the state of the emulated store
      * @param settings the settings of the deployment
      * @param number the number of the worker, from 0; determines its zone and rack
      */
-    EmulatedWorker(
+    LocalWorker(
             ProcessRuntime runtime,
-            WorkerModel model,
+            SimulatedWorker simulatedWorker,
             FaultyLink link,
-            RandomFatePlan fatePlan,
-            StoreModel store,
+            RandomFaultPlan faultPlan,
+            InMemoryStore store,
             LocalDeploymentSettings settings,
             int number) {
         this.runtime = runtime;
-        this.model = model;
+        this.simulatedWorker = simulatedWorker;
         this.link = link;
-        this.fatePlan = fatePlan;
+        this.faultPlan = faultPlan;
         this.store = store;
         this.capacity = settings.capacity();
         List<String> zones = List.copyOf(settings.zones().keySet());
@@ -82,8 +82,8 @@
      *
      * @return the state
      */
-    public WorkerModel model() {
-        return model;
+    public SimulatedWorker simulatedWorker() {
+        return simulatedWorker;
     }
 
     /**
@@ -100,8 +100,8 @@
      *
      * @return the plan
      */
-    public RandomFatePlan fatePlan() {
-        return fatePlan;
+    public RandomFaultPlan faultPlan() {
+        return faultPlan;
     }
 
     /**
@@ -114,7 +114,7 @@
     public void register(boolean draining, long remainingMillis) {
         WorkerEntry entry =
                 new WorkerEntry(
-                        model.id(),
+                        simulatedWorker.id(),
                         LocalDeployment.SERVICE,
                         link.address(),
                         zone,
@@ -122,8 +122,10 @@
                         remainingMillis,
                         capacity,
                         List.of("standard", rack),
-                        model.bootUnixMillis());
-        store.commit(new StoreTransaction().put(registrationKey(), OperatorFormats.worker(entry)));
+                        simulatedWorker.bootUnixMillis());
+        store.commit(
+                new StoreTransaction()
+                        .put(registrationKey(), PlatformRecordEncoder.encodeWorker(entry)));
     }
 
     /**
@@ -132,7 +134,7 @@
      */
     public void crash() {
         link.setRefusing(true);
-        model.crash();
+        simulatedWorker.crash();
         store.commit(new StoreTransaction().remove(registrationKey()));
     }
 
@@ -141,8 +143,8 @@
      * worker is running.
      */
     public void bootIfCrashed() {
-        if (!model.alive()) {
-            model.boot();
+        if (!simulatedWorker.isAlive()) {
+            simulatedWorker.boot();
             link.setRefusing(false);
             register(false, 0);
         }
@@ -160,6 +162,6 @@
      * @return the key
      */
     private String registrationKey() {
-        return LocalDeployment.RECORDS.workerKeyPrefix() + model.id();
+        return LocalDeployment.RECORD_DECODER.workerKeyPrefix() + simulatedWorker.id();
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RandomFatePlan.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/RandomFaultPlan.java
@@ -3,49 +3,49 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.apache.commons.math3.random.RandomGenerator;
-import org.damasktiller.standin.metadata.CallFate;
-import org.damasktiller.standin.metadata.FatePlan;
+import org.damasktiller.standin.metadata.CallFault;
+import org.damasktiller.standin.metadata.FaultPlan;
 
 /**
  * Selects the fault of each call at random. The probabilities of the faults may change while a
  * deployment runs.
  */
-public final class RandomFatePlan implements FatePlan {
+public final class RandomFaultPlan implements FaultPlan {
 
     /** Selects the faults. */
     private final RandomGenerator random;
 
     /** The probabilities of the faults, 0 to 1. The remaining probability is that of no fault. */
-    private final Map<CallFate, Double> probabilities = new EnumMap<>(CallFate.class);
+    private final Map<CallFault, Double> probabilities = new EnumMap<>(CallFault.class);
 
     /**
      * Creates a plan without faults.
      *
      * @param random the random number generator that selects the faults
      */
-    public RandomFatePlan(RandomGenerator random) {
+    public RandomFaultPlan(RandomGenerator random) {
         this.random = random;
     }
 
     /**
      * Sets the probability of a fault.
      *
-     * @param fate the fault
+     * @param callFault the fault
      * @param probability the probability that a call is affected, 0 to 1; 0 disables the fault
      */
-    public void setProbability(CallFate fate, double probability) {
-        probabilities.put(fate, probability);
+    public void setProbability(CallFault callFault, double probability) {
+        probabilities.put(callFault, probability);
     }
 
     @Override
-    public CallFate decide(String call) {
+    public CallFault faultFor(String call) {
         double drawn = random.nextDouble();
-        for (Map.Entry<CallFate, Double> entry : probabilities.entrySet()) {
+        for (Map.Entry<CallFault, Double> entry : probabilities.entrySet()) {
             drawn -= entry.getValue();
             if (drawn < 0) {
                 return entry.getKey();
             }
         }
-        return CallFate.ANSWERED;
+        return CallFault.ANSWERED;
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultGenerator.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/FaultGenerator.java
@@ -3,10 +3,10 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.link.FaultyLink;
 import org.damasktiller.lab.link.LinkState;
-import org.damasktiller.lab.rig.EmulatedWorker;
 import org.damasktiller.lab.rig.LocalDeployment;
+import org.damasktiller.lab.rig.LocalWorker;
 import org.damasktiller.scheduler.model.Manifest;
-import org.damasktiller.standin.metadata.CallFate;
+import org.damasktiller.standin.metadata.CallFault;
 
 /**
  * Generates random faults of all kinds. The sequence of faults depends on the order of the draws
@@ -29,8 +29,8 @@
     };
 
     /** The faults that affect calls. */
-    private static final CallFate[] FAULTY_CALL_FATES = {
-        CallFate.REFUSED, CallFate.LOST, CallFate.ANSWER_LOST, CallFate.LATE
+    private static final CallFault[] CALL_FAULTS = {
+        CallFault.REFUSED, CallFault.LOST, CallFault.ANSWER_LOST, CallFault.LATE
     };
 
     /**
@@ -78,21 +78,21 @@
                         "link of entry-" + number + " to store");
             }
             case WORKER_LINK -> {
-                EmulatedWorker worker = drawWorker();
-                yield drawLinkFault(worker.link(), "link to " + worker.model().id());
+                LocalWorker worker = drawWorker();
+                yield drawLinkFault(worker.link(), "link to " + worker.simulatedWorker().id());
             }
             case STORE_CALLS ->
-                    new CallFault(
-                            deployment.storeFatePlan(),
+                    new ServiceCallFault(
+                            deployment.storeFaultPlan(),
                             "store",
-                            drawOne(FAULTY_CALL_FATES),
+                            drawOne(CALL_FAULTS),
                             random.nextDouble());
             case WORKER_CALLS -> {
-                EmulatedWorker worker = drawWorker();
-                yield new CallFault(
-                        worker.fatePlan(),
-                        worker.model().id(),
-                        drawOne(FAULTY_CALL_FATES),
+                LocalWorker worker = drawWorker();
+                yield new ServiceCallFault(
+                        worker.faultPlan(),
+                        worker.simulatedWorker().id(),
+                        drawOne(CALL_FAULTS),
                         random.nextDouble());
             }
             case WORKER_LIFE ->
@@ -123,7 +123,7 @@
      *
      * @return the worker
      */
-    private EmulatedWorker drawWorker() {
+    private LocalWorker drawWorker() {
         return deployment.workers().get(random.nextInt(deployment.workers().size()));
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -21,7 +21,7 @@
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.standin.fleet.RunAudit;
+import org.damasktiller.standin.fleet.RunInvariantChecker;
 
 /**
  * Runs the fault soak test for one seed. The entry VMs run in processes of their own while faults
@@ -87,7 +87,8 @@
     private final RandomGenerator random;
 
     /** Records the runs of the workers and detects violations. */
-    private final RunAudit audit = new RunAudit(SoakLoad.MAX_ATTEMPTS);
+    private final RunInvariantChecker invariantChecker =
+            new RunInvariantChecker(SoakLoad.MAX_ATTEMPTS);
 
     /** The emulated services and the processes of the entry VMs. */
     private final LocalDeployment deployment;
@@ -140,7 +141,11 @@
                         created ->
                                 created.complete(
                                         new LocalDeployment(
-                                                loop, deploymentSettings, work, audit, random)));
+                                                loop,
+                                                deploymentSettings,
+                                                work,
+                                                invariantChecker,
+                                                random)));
         callers =
                 new CallerLoad(
                         runtime,
@@ -149,7 +154,7 @@
                         random,
                         work);
         load = new SoakLoad(runtime, random, callers);
-        promiseCheck = new PromiseCheck(callers, audit, work);
+        promiseCheck = new PromiseCheck(callers, invariantChecker, work);
         faultGenerator = new FaultGenerator(random, deployment, manifest);
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/StoreFault.java
@@ -1,6 +1,6 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.standin.metadata.StoreModel;
+import org.damasktiller.standin.metadata.InMemoryStore;
 
 /**
  * Compacts the history of the store, and optionally ends all leases before. Watches that resume
@@ -9,7 +9,7 @@
 final class StoreFault implements Fault {
 
     /** The state of the emulated store. */
-    private final StoreModel store;
+    private final InMemoryStore store;
 
     /** Whether all leases end before the history is compacted. */
     private final boolean endsLeases;
@@ -20,7 +20,7 @@
      * @param store the state of the emulated store
      * @param endsLeases whether all leases end before the history is compacted
      */
-    StoreFault(StoreModel store, boolean endsLeases) {
+    StoreFault(InMemoryStore store, boolean endsLeases) {
         this.store = store;
         this.endsLeases = endsLeases;
     }
@@ -28,7 +28,7 @@
     @Override
     public void begin() {
         if (endsLeases) {
-            store.endLeases();
+            store.revokeAllLeases();
         }
         store.compact();
     }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
@@ -1,6 +1,6 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.EmulatedWorker;
+import org.damasktiller.lab.rig.LocalWorker;
 
 /**
  * Crashes a worker immediately, or drains it and crashes it when the fault ends. The worker boots
@@ -9,7 +9,7 @@
 final class WorkerFault implements Fault {
 
     /** The affected worker. */
-    private final EmulatedWorker worker;
+    private final LocalWorker worker;
 
     /**
      * The time until the worker leaves that it announces when draining, in milliseconds; 0 for an
@@ -24,7 +24,7 @@
      * @param drainMillis the time until the worker leaves that it announces when draining, in
      *     milliseconds; 0 for an immediate crash
      */
-    WorkerFault(EmulatedWorker worker, long drainMillis) {
+    WorkerFault(LocalWorker worker, long drainMillis) {
         this.worker = worker;
         this.drainMillis = drainMillis;
     }
@@ -49,6 +49,7 @@
 
     @Override
     public String describe() {
-        return worker.model().id() + (drainMillis > 0 ? " drains and restarts" : " crashes");
+        return worker.simulatedWorker().id()
+                + (drainMillis > 0 ? " drains and restarts" : " crashes");
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/CallerServlet.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.node.cluster.ClusterMember;
-import org.damasktiller.platform.ingress.CallerFormats;
+import org.damasktiller.platform.ingress.CallerCodec;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.Submission;
@@ -180,7 +180,7 @@
     private Promise<CallerResponse> accept(CallerRequest callerRequest, byte[] body) {
         Submission submission;
         try {
-            submission = CallerFormats.submission(callerRequest.id(), body);
+            submission = CallerCodec.decodeSubmission(callerRequest.id(), body);
         } catch (DamasktillerException exception) {
             log.log(
                     "submission.malformed",
@@ -234,7 +234,7 @@
      * @return the deadline on the monotonic clock, in milliseconds
      */
     private long deadlineMillis(HttpRequest request) {
-        String header = request.getHeader(CallerFormats.DEADLINE);
+        String header = request.getHeader(CallerCodec.DEADLINE_MILLIS_HEADER);
         long timeoutMillis = DEFAULT_TIMEOUT_MILLIS;
         if (header != null && header.matches("\\d{1,9}")) {
             timeoutMillis = Long.parseLong(header);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -19,6 +19,6 @@
      * @return true if the worker has not restarted and the ticket has not expired
      */
     boolean isUsable(WorkerRecord worker, long nowMillis) {
-        return worker.bornUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
+        return worker.bootUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
     }
 }
