--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -15,10 +15,10 @@
 import org.damasktiller.lab.load.SubmittedTaskBehaviour;
 import org.damasktiller.lab.load.TrackedSubmission;
 import org.damasktiller.lab.rig.Deployment;
-import org.damasktiller.lab.rig.EntryProcess;
-import org.damasktiller.lab.rig.LabLoop;
-import org.damasktiller.lab.rig.Rig;
-import org.damasktiller.lab.rig.RigSettings;
+import org.damasktiller.lab.rig.EntryVmProcess;
+import org.damasktiller.lab.rig.LabEventLoop;
+import org.damasktiller.lab.rig.LocalDeployment;
+import org.damasktiller.lab.rig.LocalDeploymentSettings;
 import org.damasktiller.lab.table.TableManifestFactory;
 import org.damasktiller.platform.emulator.CallerClient;
 import org.damasktiller.scheduler.model.Manifest;
@@ -32,65 +32,69 @@
 import org.damasktiller.table.OperatorTable;
 
 /**
- * Runs a deployment on this machine with a short mixed load from the rows of a table, puts a newer
- * manifest in force, drains an entry VM, and accounts for every accepted submission.
+ * Runs a deployment on the local machine under a short load that is generated from the rows of an
+ * operators' table. Halfway through the load it publishes a newer manifest and drains an entry VM.
+ * At the end it verifies that every accepted submission has finished and that the scheduler's
+ * guarantees held.
  */
 public final class LocalRun {
 
-    /** The number of submissions of each row. */
-    private static final int PER_ROW = 20;
+    /** The number of submissions that are sent for each row. */
+    private static final int SUBMISSIONS_PER_ROW = 20;
 
-    /** The longest task of the load, in milliseconds. */
-    private static final long LONGEST_TASK_MILLIS = 300;
+    /** The maximum estimated duration of a task of the load, in milliseconds. */
+    private static final long MAX_TASK_MILLIS = 300;
 
-    /** How long a caller waits for an answer, in milliseconds. */
-    private static final long CALL_MILLIS = 5_000;
+    /** The timeout of a caller's request, in milliseconds. */
+    private static final long CALL_TIMEOUT_MILLIS = 5_000;
 
-    /** The time between two lines of progress, in milliseconds. */
-    private static final long PROGRESS_MILLIS = 1_000;
+    /** The interval between two lines of progress, in milliseconds. */
+    private static final long PROGRESS_INTERVAL_MILLIS = 1_000;
 
-    /** The longest time for the open work to finish after the load, in milliseconds. */
-    private static final long FINISH_MILLIS = 60_000;
+    /**
+     * The maximum time that unfinished submissions get after the load has ended, in milliseconds.
+     */
+    private static final long FINISH_TIMEOUT_MILLIS = 60_000;
 
     /** The number of milliseconds in a second. */
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** The deployment. */
+    /** The deployment whose zones and workers are run. */
     private final Deployment deployment;
 
-    /** The table. */
+    /** The table from whose rows the manifest and the load are generated. */
     private final OperatorTable table;
 
-    /** How long the load lasts, in milliseconds. */
+    /** The duration of the load, in milliseconds. */
     private final long loadMillis;
 
-    /** Where progress and results go. */
+    /** The stream to which progress and results are printed. */
     private final PrintStream output;
 
-    /** The loop. */
-    private final LabLoop loop;
+    /** The event loop of the emulated services and the callers. */
+    private final LabEventLoop loop;
 
-    /** What the workers ran. */
-    private final RunInvariantChecker audit =
+    /** Records the runs of the workers and detects violations. */
+    private final RunInvariantChecker invariantChecker =
             new RunInvariantChecker(TableManifestFactory.MAXIMUM_ATTEMPTS);
 
-    /** What callers have submitted. */
+    /** The submissions that callers have sent; determines the behaviour of their tasks. */
     private final SubmittedTaskBehaviour work;
 
-    /** The deployment while it runs. */
-    private final Rig rig;
+    /** The emulated services and the processes of the entry VMs. */
+    private final LocalDeployment localDeployment;
 
-    /** The callers. */
+    /** Sends the submissions and tracks their states. */
     private final CallerSimulator load;
 
     /**
-     * Creates a run.
+     * Creates a run with its emulated services. The processes of the entry VMs are not started yet.
      *
-     * @param deployment the deployment
-     * @param table the table
+     * @param deployment the deployment whose zones and workers are run
+     * @param table the table from whose rows the manifest and the load are generated
      * @param entryVms the number of entry VMs
-     * @param seconds how long the load lasts, in seconds
-     * @param output where progress and results go
+     * @param seconds the duration of the load, in seconds
+     * @param output the stream to which progress and results are printed
      */
     public LocalRun(
             Deployment deployment,
@@ -104,97 +108,110 @@
         this.output = output;
         RandomGenerator random = new Well19937c(1);
         work = new SubmittedTaskBehaviour(random, 0);
-        loop = new LabLoop("local", output::println);
-        RigSettings settings =
-                RigSettings.builder(temporaryDirectory())
+        loop = new LabEventLoop("local", output::println);
+        LocalDeploymentSettings settings =
+                LocalDeploymentSettings.builder(createTemporaryDirectory())
                         .zones(deployment.zoneNames())
                         .entryVms(entryVms)
                         .workers(deployment.workers())
                         .capacity(deployment.capacity())
                         .build();
-        rig = loop.await(made -> made.complete(new Rig(loop, settings, work, audit, random)));
+        localDeployment =
+                loop.await(
+                        created ->
+                                created.complete(
+                                        new LocalDeployment(
+                                                loop, settings, work, invariantChecker, random)));
         load =
                 new CallerSimulator(
                         loop.runtime(),
-                        new CallerClient(loop.eventloop(), CALL_MILLIS),
-                        rig.entryVms().stream().map(EntryProcess::callers).toList(),
+                        new CallerClient(loop.eventloop(), CALL_TIMEOUT_MILLIS),
+                        localDeployment.entryVms().stream()
+                                .map(EntryVmProcess::callerAddress)
+                                .toList(),
                         random,
                         work);
     }
 
     /**
-     * Runs.
+     * Runs the load, prints the results and kills the processes of the entry VMs.
      *
-     * @return whether every accepted submission is accounted for and nothing ran twice
+     * @return true if every submission reached a final state in time and no violation was found
      */
     public boolean run() {
         try (loop) {
             output.println(
                     deployment.workers()
                             + " workers, entry VMs at "
-                            + rig.entryVms().stream().map(EntryProcess::callers).toList());
-            boolean finished = loop.await(this::begin);
+                            + localDeployment.entryVms().stream()
+                                    .map(EntryVmProcess::callerAddress)
+                                    .toList());
+            boolean finished = loop.await(this::startDeploymentAndLoad);
             return report(finished);
         } finally {
-            rig.kill();
+            localDeployment.kill();
         }
     }
 
     /**
-     * Starts the deployment and the load.
+     * Starts the deployment and schedules the load, the changes halfway through it and the reports
+     * of progress.
      *
-     * @param finished takes whether all work finished
+     * @param finished completed with true once all submissions are settled, with false after the
+     *     timeout
      */
-    private void begin(CompletableFuture<Boolean> finished) {
-        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 1);
-        rig.manifest(manifest, manifest.routes());
-        rig.start();
+    private void startDeploymentAndLoad(CompletableFuture<Boolean> finished) {
+        Manifest manifest = TableManifestFactory.create(table, LocalDeployment.SERVICE, 1);
+        localDeployment.publishManifest(manifest, manifest.routes());
+        localDeployment.start();
         List<KindOfWork> rows = table.rows();
         for (int row = 0; row < rows.size(); row++) {
-            for (int number = 0; number < PER_ROW; number++) {
+            for (int index = 0; index < SUBMISSIONS_PER_ROW; index++) {
                 Route route = manifest.routes().get(row);
-                Submission submission = submission(rows.get(row));
+                Submission submission = createSubmission(rows.get(row));
                 loop.runtime()
                         .schedule(
-                                loadMillis * number / PER_ROW, () -> load.send(route, submission));
+                                loadMillis * index / SUBMISSIONS_PER_ROW,
+                                () -> load.send(route, submission));
             }
         }
-        loop.runtime().schedule(loadMillis / 2, this::change);
+        loop.runtime().schedule(loadMillis / 2, this::publishManifestAndDrain);
         awaitFinish(finished, loop.runtime().nowMillis());
     }
 
-    /** Puts a newer manifest in force and drains the last entry VM. */
-    private void change() {
-        Manifest manifest = TableManifestFactory.create(table, Rig.SERVICE, 2);
-        rig.manifest(manifest, manifest.routes());
-        EntryProcess last = rig.entryVms().get(rig.entryVms().size() - 1);
+    /** Publishes a newer manifest and drains the last entry VM. */
+    private void publishManifestAndDrain() {
+        Manifest manifest = TableManifestFactory.create(table, LocalDeployment.SERVICE, 2);
+        localDeployment.publishManifest(manifest, manifest.routes());
+        EntryVmProcess last = localDeployment.entryVms().get(localDeployment.entryVms().size() - 1);
         output.println("manifest version 2 is in the store; draining " + last.name());
-        last.signal("TERM");
+        last.sendSignal("TERM");
     }
 
     /**
-     * Shows progress until all work has finished.
+     * Prints the progress repeatedly until all submissions are settled or the time is up.
      *
-     * @param finished takes whether it has
-     * @param beganMillis when the load began, in milliseconds
+     * @param finished completed with true once all submissions are settled, with false after the
+     *     timeout
+     * @param beganMillis when the load began on the monotonic clock, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
-        long open = load.submissions().stream().filter(item -> !item.isSettled()).count();
-        output.println("sent " + load.submissions().size() + ", open " + open);
-        long passed = loop.runtime().nowMillis() - beganMillis;
-        boolean sent = load.submissions().size() == table.rows().size() * PER_ROW;
-        if ((sent && open == 0) || passed > loadMillis + FINISH_MILLIS) {
-            finished.complete(sent && open == 0);
+        long openCount = load.submissions().stream().filter(item -> !item.isSettled()).count();
+        output.println("sent " + load.submissions().size() + ", open " + openCount);
+        long elapsedMillis = loop.runtime().nowMillis() - beganMillis;
+        boolean allSent = load.submissions().size() == table.rows().size() * SUBMISSIONS_PER_ROW;
+        if ((allSent && openCount == 0) || elapsedMillis > loadMillis + FINISH_TIMEOUT_MILLIS) {
+            finished.complete(allSent && openCount == 0);
             return;
         }
-        loop.runtime().schedule(PROGRESS_MILLIS, () -> awaitFinish(finished, beganMillis));
+        loop.runtime().schedule(PROGRESS_INTERVAL_MILLIS, () -> awaitFinish(finished, beganMillis));
     }
 
     /**
-     * Prints what each row got and checks the promises.
+     * Prints the results of each row and the violations of the scheduler's guarantees.
      *
-     * @param finished whether all work finished
-     * @return whether all promises were kept
+     * @param finished whether all submissions were settled in time
+     * @return true if all submissions were settled and no violation was found
      */
     private boolean report(boolean finished) {
         output.printf("%-20s %8s %9s %8s%n", "kind", "accepted", "succeeded", "refused");
@@ -213,26 +230,26 @@
                             .count(),
                     items.stream().filter(TrackedSubmission::isRefused).count());
         }
-        GuaranteeChecker check = new GuaranteeChecker(load, audit, work);
-        List<String> found =
+        GuaranteeChecker promiseCheck = new GuaranteeChecker(load, invariantChecker, work);
+        List<String> violations =
                 loop.await(
                         result -> {
-                            List<String> lines = new ArrayList<>(check.violations());
-                            lines.addAll(check.unfinished());
+                            List<String> lines = new ArrayList<>(promiseCheck.violations());
+                            lines.addAll(promiseCheck.unfinished());
                             result.complete(lines);
                         });
-        found.forEach(line -> output.println("violation: " + line));
-        output.println("violations: " + found.size());
-        return finished && found.isEmpty();
+        violations.forEach(line -> output.println("violation: " + line));
+        output.println("violations: " + violations.size());
+        return finished && violations.isEmpty();
     }
 
     /**
-     * Makes a submission of a row: one task of the row's size.
+     * Creates a submission with a single task that needs the resources declared in the row.
      *
-     * @param row the row
+     * @param row the row of the table
      * @return the submission
      */
-    private Submission submission(KindOfWork row) {
+    private Submission createSubmission(KindOfWork row) {
         Resources need =
                 new Resources(
                         row.declaredResources().milliProcessors(),
@@ -240,18 +257,17 @@
                         row.declaredResources().accelerators());
         StepSpec step =
                 StepSpec.builder(1, need)
-                        .estimateMillis(
-                                Math.max(1, Math.min(row.runTimeMillis(), LONGEST_TASK_MILLIS)))
+                        .estimateMillis(Math.max(1, Math.min(row.runTimeMillis(), MAX_TASK_MILLIS)))
                         .build();
         return new Submission(load.nextId(), row.name().value(), List.of(step), 0, 0, 0);
     }
 
     /**
-     * Makes a directory for settings and logs.
+     * Creates a directory for the settings and logs of the entry VMs.
      *
-     * @return its path
+     * @return the path of the directory
      */
-    private static Path temporaryDirectory() {
+    private static Path createTemporaryDirectory() {
         try {
             return Files.createTempDirectory("damasktiller-local");
         } catch (IOException exception) {
--- /dev/null
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/rig/EntryVmProcess.java
@@ -0,0 +1,196 @@
+package org.damasktiller.lab.rig;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.damasktiller.node.process.Main;
+import org.damasktiller.platform.emulator.PlatformRecordEncoder;
+import org.jspecify.annotations.Nullable;
+
+/** Starts, signals and restarts the process that runs the program of one entry VM. */
+public final class EntryVmProcess {
+
+    /** The JVM options, identical to those in the deployment file {@code deploy/system.toml}. */
+    private static final List<String> JAVA_OPTIONS =
+            List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
+
+    /** The signals that terminate the process. */
+    private static final Set<String> TERMINATING_SIGNALS = Set.of("KILL", "TERM");
+
+    /** The name of the entry VM. */
+    private final String name;
+
+    /** The file from which the program reads its settings. */
+    private final Path settingsFile;
+
+    /** The file to which the standard output and error of the process are appended. */
+    private final Path logFile;
+
+    /** The address on which the program listens for callers. */
+    private final InetSocketAddress callerAddress;
+
+    /** The process that was started last, null before the first start. */
+    private @Nullable Process process;
+
+    /** Whether the process was requested to terminate since its last start. */
+    private boolean terminationRequested;
+
+    /**
+     * Writes the settings file of an entry VM. The process is not started yet.
+     *
+     * @param name the name of the entry VM
+     * @param zone the availability zone of the entry VM
+     * @param zones the regions by availability zone
+     * @param store the address at which the program connects to the store
+     * @param directory the existing directory for the settings and the log
+     */
+    public EntryVmProcess(
+            String name,
+            String zone,
+            Map<String, String> zones,
+            InetSocketAddress store,
+            Path directory) {
+        this.name = name;
+        this.callerAddress = freeAddress();
+        this.settingsFile = directory.resolve(name + ".conf");
+        this.logFile = directory.resolve(name + ".log");
+        List<String> lines =
+                PlatformRecordEncoder.settingsLines(
+                        name, zone, zones, callerAddress, freeAddress(), store);
+        try {
+            Files.write(settingsFile, lines);
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
+        }
+    }
+
+    /**
+     * Returns the name of the entry VM.
+     *
+     * @return the name
+     */
+    public String name() {
+        return name;
+    }
+
+    /**
+     * Returns the address on which the program listens for callers.
+     *
+     * @return the loopback address
+     */
+    public InetSocketAddress callerAddress() {
+        return callerAddress;
+    }
+
+    /**
+     * Returns the file to which the standard output and error of the process are appended.
+     *
+     * @return the path
+     */
+    public Path logFile() {
+        return logFile;
+    }
+
+    /** Starts a new process with the settings of the entry VM. */
+    public void start() {
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(JAVA_OPTIONS);
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Main.class.getName(),
+                        "--settings",
+                        settingsFile.toString()));
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
+        terminationRequested = false;
+        try {
+            process = builder.start();
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
+        }
+    }
+
+    /**
+     * Returns whether the process is running.
+     *
+     * @return true if it is, false if it was never started or has ended
+     */
+    public boolean isAlive() {
+        Process current = process;
+        return current != null && current.isAlive();
+    }
+
+    /**
+     * Returns the exit code of the process.
+     *
+     * @return the exit code, or -1 if the process is running or was never started
+     */
+    public int exitCode() {
+        Process current = process;
+        return current == null || current.isAlive() ? -1 : current.exitValue();
+    }
+
+    /**
+     * Returns whether the process was requested to terminate since its last start. If it was not,
+     * its end is a failure of the program.
+     *
+     * @return true if it was killed or sent a terminating signal
+     */
+    public boolean terminationRequested() {
+        return terminationRequested;
+    }
+
+    /**
+     * Sends a signal to the process. Has no effect if the process is not running.
+     *
+     * @param signal the name of the signal without the prefix SIG, such as {@code TERM}
+     */
+    public void sendSignal(String signal) {
+        Process current = process;
+        if (current == null || !current.isAlive()) {
+            return;
+        }
+        terminationRequested |= TERMINATING_SIGNALS.contains(signal);
+        try {
+            new ProcessBuilder("kill", "-" + signal, Long.toString(current.pid())).start();
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
+        }
+    }
+
+    /** Kills the process. Has no effect if it was never started. */
+    public void kill() {
+        Process current = process;
+        if (current != null) {
+            terminationRequested = true;
+            current.destroyForcibly();
+        }
+    }
+
+    /**
+     * Finds a loopback port that is free at the moment of the call; another process may take it
+     * later.
+     *
+     * @return the loopback address with the port
+     */
+    private static InetSocketAddress freeAddress() {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
+        }
+    }
+}
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SignalFault.java
@@ -1,39 +1,42 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.EntryProcess;
+import org.damasktiller.lab.rig.EntryVmProcess;
 
-/** Sends a signal to the program of an entry VM, and lets it go on or start again at the end. */
+/**
+ * Sends a signal to the process of an entry VM. A process that is suspended by the signal is
+ * resumed when the fault ends; one that terminates may be restarted from then on.
+ */
 final class SignalFault implements Fault {
 
-    /** The entry VM. */
-    private final EntryProcess entryVm;
+    /** The entry VM whose process gets the signal. */
+    private final EntryVmProcess entryVm;
 
-    /** The name of the signal. */
+    /** The name of the signal without the prefix SIG. */
     private final String signal;
 
     /**
      * Creates a fault.
      *
-     * @param entryVm the entry VM
-     * @param signal the name of the signal
+     * @param entryVm the entry VM whose process gets the signal
+     * @param signal the name of the signal without the prefix SIG
      */
-    SignalFault(EntryProcess entryVm, String signal) {
+    SignalFault(EntryVmProcess entryVm, String signal) {
         this.entryVm = entryVm;
         this.signal = signal;
     }
 
     @Override
     public void begin() {
-        entryVm.signal(signal);
+        entryVm.sendSignal(signal);
     }
 
     @Override
     public void end() {
-        entryVm.signal("CONT");
+        entryVm.sendSignal("CONT");
     }
 
     @Override
-    public boolean keepsDown(EntryProcess other) {
+    public boolean preventsRestart(EntryVmProcess other) {
         return other == entryVm;
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
@@ -6,7 +6,7 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.damasktiller.lab.load.CallerSimulator;
 import org.damasktiller.lab.load.TrackedSubmission;
-import org.damasktiller.lab.rig.Rig;
+import org.damasktiller.lab.rig.LocalDeployment;
 import org.damasktiller.scheduler.model.IngressLimits;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.model.Resources;
@@ -15,137 +15,157 @@
 import org.damasktiller.scheduler.model.Submission;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 
-/** Sends submissions of every kind at random moments, and cancels some. */
+/** Sends random submissions at random intervals and cancels some of them. */
 final class SoakLoad {
 
-    /** How often a task may fail. */
-    static final int ATTEMPTS = 3;
+    /** The number of failed runs of a task after which its submission fails. */
+    static final int MAX_ATTEMPTS = 3;
 
-    /** The mean time between two submissions, in milliseconds. */
-    private static final int INTERVAL_MILLIS = 150;
+    /**
+     * The mean interval between two submissions, in milliseconds; also the interval at which the
+     * acceptance of a submission to cancel is checked.
+     */
+    private static final int MEAN_INTERVAL_MILLIS = 150;
 
-    /** The longest task, in milliseconds. */
-    private static final int LONGEST_TASK_MILLIS = 900;
+    /** The maximum estimated duration of a task, in milliseconds. */
+    private static final int MAX_TASK_MILLIS = 900;
 
-    /** The most tasks of a step. */
-    private static final int MOST_TASKS = 4;
+    /** The maximum number of tasks in a step; also the number of different images. */
+    private static final int MAX_TASK_COUNT = 4;
 
-    /** The chance that a submission lasts, which its caller then cancels. */
-    private static final double LASTING_CHANCE = 0.05;
+    /** The probability that a submission is long-running. */
+    private static final double LONG_RUNNING_PROBABILITY = 0.05;
 
-    /** The chance that a submission is cancelled. */
-    private static final double CANCEL_CHANCE = 0.1;
+    /** The probability that a submission is cancelled, also of one that is long-running. */
+    private static final double CANCEL_PROBABILITY = 0.1;
 
-    /** The longest time until a submission is cancelled, in milliseconds. */
-    private static final int LONGEST_CANCEL_MILLIS = 3_000;
+    /** The exclusive upper bound of the delay until a submission is cancelled, in milliseconds. */
+    private static final int CANCEL_DELAY_BOUND_MILLIS = 3_000;
 
-    /** What the objective of the urgent route adds to the chain of work, in milliseconds. */
+    /**
+     * The time that the latency objective of the urgent route adds to the critical path, in
+     * milliseconds.
+     */
     private static final long URGENT_TARGET_MILLIS = 600;
 
-    /** What the objective of the batch route adds to the chain of work, in milliseconds. */
+    /**
+     * The time that the latency objective of the batch route adds to the critical path, in
+     * milliseconds.
+     */
     private static final long BATCH_TARGET_MILLIS = 2_000;
 
-    /** The largest body of a submission, in bytes. */
-    private static final int BODY_BYTES = 1 << 20;
+    /** The maximum size of the body of a submission, in bytes. */
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
-    /** How long a caller's connection may be idle, in milliseconds. */
-    private static final long IDLE_MILLIS = 30_000;
+    /** The time after which an idle connection of a caller is closed, in milliseconds. */
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
-    /** The size of a task, in millicores and in megabytes. */
-    private static final long TASK_SIZE = 1_000;
+    /** The resources that each task needs: this number of millicores and of megabytes. */
+    private static final long TASK_MILLICORES_AND_MEGABYTES = 1_000;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the event loop. */
     private final ProcessRuntime runtime;
 
-    /** Draws. */
+    /** Draws the submissions, their intervals and their cancellation. */
     private final RandomGenerator random;
 
-    /** The callers. */
-    private final CallerSimulator load;
+    /** Sends the submissions and tracks their states. */
+    private final CallerSimulator callers;
 
-    /** The routes. */
-    private final Manifest manifest = manifest();
+    /** The manifest with the routes of the submissions. */
+    private final Manifest manifest = createManifest();
 
-    /** Whether to send no more. */
-    private boolean over;
+    /** Whether the load has stopped. */
+    private boolean stopped;
 
     /**
-     * Creates a load that has not begun.
+     * Creates a load that has not started.
      *
-     * @param runtime the clock and the timers
-     * @param random draws
-     * @param load the callers
+     * @param runtime the clock and timers of the event loop
+     * @param random the random number generator that draws the load
+     * @param callers sends the submissions and tracks their states
      */
-    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerSimulator load) {
+    SoakLoad(ProcessRuntime runtime, RandomGenerator random, CallerSimulator callers) {
         this.runtime = runtime;
         this.random = random;
-        this.load = load;
+        this.callers = callers;
     }
 
     /**
-     * Returns the manifest that the load needs.
+     * Creates the manifest with the routes of the load.
      *
-     * @return a manifest of an urgent and a batch route
+     * @return a manifest with an urgent and a batch route
      */
-    static Manifest manifest() {
+    static Manifest createManifest() {
         return new Manifest(
                 1,
                 List.of(
-                        route("urgent", 0, URGENT_TARGET_MILLIS),
-                        route("batch", 1, BATCH_TARGET_MILLIS)),
-                Set.of(Rig.SERVICE),
-                new IngressLimits(BODY_BYTES, IDLE_MILLIS));
+                        createRoute("urgent", 0, URGENT_TARGET_MILLIS),
+                        createRoute("batch", 1, BATCH_TARGET_MILLIS)),
+                Set.of(LocalDeployment.SERVICE),
+                new IngressLimits(MAX_BODY_BYTES, IDLE_TIMEOUT_MILLIS));
     }
 
-    /** Sends submissions until it is told to stop. */
+    /** Sends submissions at random intervals until {@link #stop()} is called. */
     void run() {
-        if (over) {
+        if (stopped) {
             return;
         }
-        sendOne();
-        runtime.schedule(random.nextInt(2 * INTERVAL_MILLIS), this::run);
+        sendNext();
+        runtime.schedule(random.nextInt(2 * MEAN_INTERVAL_MILLIS), this::run);
     }
 
-    /** Sends no more; what lasts goes on. */
+    /**
+     * Stops sending submissions. Submissions that were sent before are still tracked, and
+     * long-running ones continue.
+     */
     void stop() {
-        over = true;
+        stopped = true;
     }
 
-    /** Sends a submission. */
-    private void sendOne() {
-        boolean lasting = random.nextDouble() < LASTING_CHANCE;
+    /** Draws and sends a submission, and schedules its cancellation if one is drawn. */
+    private void sendNext() {
+        boolean longRunning = random.nextDouble() < LONG_RUNNING_PROBABILITY;
         Route route = manifest.routes().get(random.nextInt(manifest.routes().size()));
         Submission submission =
-                new Submission(load.nextId(), "soak", lasting ? lasting() : steps(), 0, 0, 0);
-        TrackedSubmission item = load.send(route, submission);
-        if (random.nextDouble() < CANCEL_CHANCE) {
-            runtime.schedule(random.nextInt(LONGEST_CANCEL_MILLIS), () -> cancelOnceAccepted(item));
+                new Submission(
+                        callers.nextId(),
+                        "soak",
+                        longRunning ? drawLongRunningSteps() : drawSteps(),
+                        0,
+                        0,
+                        0);
+        TrackedSubmission item = callers.send(route, submission);
+        if (random.nextDouble() < CANCEL_PROBABILITY) {
+            runtime.schedule(
+                    random.nextInt(CANCEL_DELAY_BOUND_MILLIS), () -> cancelOnceAccepted(item));
         }
     }
 
     /**
-     * Cancels a submission once it is accepted.
+     * Cancels a submission once it is accepted. One that is settled without acceptance is not
+     * cancelled.
      *
      * @param item the submission
      */
     private void cancelOnceAccepted(TrackedSubmission item) {
         if (item.isAccepted()) {
-            load.cancel(item);
+            callers.cancel(item);
         } else if (!item.isSettled()) {
-            runtime.schedule(INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
+            runtime.schedule(MEAN_INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
         }
     }
 
     /**
-     * Draws the steps of a submission that ends.
+     * Draws the steps of a submission that is not long-running.
      *
-     * @return one step, or two of which the second waits for the first
+     * @return one step, or two of which the second depends on the first
      */
-    private List<StepSpec> steps() {
+    private List<StepSpec> drawSteps() {
         List<StepSpec> steps = new ArrayList<>();
-        steps.add(step(List.of()));
+        steps.add(drawStep(List.of()));
         if (random.nextBoolean()) {
-            steps.add(step(List.of(0)));
+            steps.add(drawStep(List.of(0)));
         }
         return steps;
     }
@@ -153,56 +173,60 @@
     /**
      * Draws a step.
      *
-     * @param after the numbers of the steps that must be done first
+     * @param after the numbers of the steps that must complete before this one starts
      * @return the step
      */
-    private StepSpec step(List<Integer> after) {
-        return StepSpec.builder(1 + random.nextInt(MOST_TASKS), size())
-                .estimateMillis(1L + random.nextInt(LONGEST_TASK_MILLIS))
+    private StepSpec drawStep(List<Integer> after) {
+        return StepSpec.builder(1 + random.nextInt(MAX_TASK_COUNT), taskResources())
+                .estimateMillis(1L + random.nextInt(MAX_TASK_MILLIS))
                 .after(after)
                 .filling(random.nextBoolean())
-                .image("image-" + random.nextInt(MOST_TASKS))
+                .image("image-" + random.nextInt(MAX_TASK_COUNT))
                 .build();
     }
 
     /**
-     * Draws the step of a submission that lasts.
+     * Draws the step of a long-running submission.
      *
      * @return the step
      */
-    private List<StepSpec> lasting() {
+    private List<StepSpec> drawLongRunningSteps() {
         return List.of(
-                StepSpec.builder(1 + random.nextInt(2), size()).lasting(true).mayMiss(1).build());
+                StepSpec.builder(1 + random.nextInt(2), taskResources())
+                        .lasting(true)
+                        .mayMiss(1)
+                        .build());
     }
 
     /**
-     * Makes a route.
+     * Creates a route for the load.
      *
-     * @param name its name
-     * @param priority its rank, 0 the most urgent
-     * @param targetMillis what its objective adds to the chain of work, in milliseconds
+     * @param name the name of the route
+     * @param priority the rank of the route; 0 is the most urgent
+     * @param targetMillis the time that the latency objective adds to the critical path, in
+     *     milliseconds
      * @return the route
      */
-    private static Route route(String name, int priority, long targetMillis) {
+    private static Route createRoute(String name, int priority, long targetMillis) {
         String prefix = '/' + name + '/';
         return new Route(
                 name,
                 "soak.example",
                 prefix,
-                Rig.SERVICE,
+                LocalDeployment.SERVICE,
                 priority,
-                ATTEMPTS,
+                MAX_ATTEMPTS,
                 2,
                 targetMillis,
                 false);
     }
 
     /**
-     * Returns the size of a task.
+     * Returns the resources that each task needs.
      *
      * @return the resources
      */
-    private static Resources size() {
-        return new Resources(TASK_SIZE, TASK_SIZE, 0);
+    private static Resources taskResources() {
+        return new Resources(TASK_MILLICORES_AND_MEGABYTES, TASK_MILLICORES_AND_MEGABYTES, 0);
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/WorkerFault.java
@@ -1,23 +1,30 @@
 package org.damasktiller.lab.soak;
 
-import org.damasktiller.lab.rig.RigWorker;
+import org.damasktiller.lab.rig.LocalWorker;
 
-/** A worker crashes, or drains and leaves; it comes back under its identifier in a new life. */
+/**
+ * Crashes a worker immediately, or drains it and crashes it when the fault ends. The worker boots
+ * again under its previous identifier.
+ */
 final class WorkerFault implements Fault {
 
-    /** The worker. */
-    private final RigWorker worker;
+    /** The affected worker. */
+    private final LocalWorker worker;
 
-    /** How long it drains before it leaves, in milliseconds, zero for a crash. */
+    /**
+     * The time until the worker leaves that it announces when draining, in milliseconds; 0 for an
+     * immediate crash.
+     */
     private final long drainMillis;
 
     /**
      * Creates a fault.
      *
-     * @param worker the worker
-     * @param drainMillis how long it drains before it leaves, in milliseconds, zero for a crash
+     * @param worker the affected worker
+     * @param drainMillis the time until the worker leaves that it announces when draining, in
+     *     milliseconds; 0 for an immediate crash
      */
-    WorkerFault(RigWorker worker, long drainMillis) {
+    WorkerFault(LocalWorker worker, long drainMillis) {
         this.worker = worker;
         this.drainMillis = drainMillis;
     }
@@ -36,12 +43,13 @@
         if (drainMillis > 0) {
             worker.restart();
         } else {
-            worker.comeBack();
+            worker.bootIfCrashed();
         }
     }
 
     @Override
     public String describe() {
-        return worker.model().id() + (drainMillis > 0 ? " drains and leaves" : " crashes");
+        return worker.simulatedWorker().id()
+                + (drainMillis > 0 ? " drains and restarts" : " crashes");
     }
 }
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/table/TableSession.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import org.damasktiller.error.DamasktillerException;
 import org.damasktiller.identity.ZoneName;
-import org.damasktiller.lab.rig.LabLoop;
+import org.damasktiller.lab.rig.LabEventLoop;
 import org.damasktiller.platform.call.JsonHttpClient;
 import org.damasktiller.platform.metadata.HttpMetadataStore;
 import org.damasktiller.table.TableRepository;
@@ -22,7 +22,7 @@
     private static final long STORE_TIMEOUT_MILLIS = 5_000;
 
     /** The event loop that performs all requests. */
-    private final LabLoop loop = new LabLoop("table", System.err::println);
+    private final LabEventLoop loop = new LabEventLoop("table", System.err::println);
 
     /** Reads and edits the table; used on the thread of the loop only. */
     private final TableRepository repository;
--- a/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
+++ b/damasktiller-lab/src/test/java/org/damasktiller/lab/link/FaultyLinkTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests what a link does with the bytes of plain sockets. */
+/** Tests the faults of a link on connections of plain sockets. */
 class FaultyLinkTest {
 
-    private static final int READ_MILLIS = 60_000;
+    private static final int READ_TIMEOUT_MILLIS = 60_000;
 
     private final Eventloop eventloop = EventLoops.start("link-test");
 
@@ -33,9 +33,9 @@
         server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         InetSocketAddress target =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-        CompletableFuture<FaultyLink> made = new CompletableFuture<>();
-        eventloop.execute(() -> made.complete(new FaultyLink(eventloop, target)));
-        link = made.join();
+        CompletableFuture<FaultyLink> created = new CompletableFuture<>();
+        eventloop.execute(() -> created.complete(new FaultyLink(eventloop, target)));
+        link = created.join();
     }
 
     @AfterEach
@@ -57,44 +57,44 @@
     }
 
     @Test
-    void holdsAnswersBackUntilItIsOpenAgain() throws IOException {
+    void holdsAnswersUntilItIsOpenAgain() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
-            set(LinkState.ANSWERS_HELD);
+            setState(LinkState.ANSWERS_HELD);
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
             send(peer, "answer");
-            set(LinkState.OPEN);
+            setState(LinkState.OPEN);
             assertThat(receive(client, 6), is("answer"));
         }
     }
 
     @Test
-    void resetEndsOpenConnections() throws IOException {
+    void closesOpenConnections() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
-            eventloop.submit(link::reset).join();
+            eventloop.submit(link::closeConnections).join();
             assertThat(client.getInputStream().read(), is(-1));
         }
     }
 
     @Test
     void refusesNewConnections() throws IOException {
-        eventloop.submit(() -> link.refuse(true)).join();
+        eventloop.submit(() -> link.setRefusing(true)).join();
         try (Socket client = connect()) {
             assertThat(client.getInputStream().read(), is(-1));
         }
     }
 
     @Test
-    void silentConnectionStaysSilentAndNewOnesWork() throws IOException {
+    void stalledConnectionForwardsNothingAndNewOnesWork() throws IOException {
         try (Socket client = connect();
                 Socket peer = server.accept()) {
             send(client, "request");
             assertThat(receive(peer, 7), is("request"));
-            eventloop.submit(link::silence).join();
+            eventloop.submit(link::stallConnections).join();
             send(peer, "answer");
             client.setSoTimeout(300);
             assertThrows(IOException.class, () -> client.getInputStream().read());
@@ -104,12 +104,12 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), link.address().getPort());
-        socket.setSoTimeout(READ_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         return socket;
     }
 
-    private void set(LinkState state) {
-        eventloop.submit(() -> link.set(state, 0)).join();
+    private void setState(LinkState state) {
+        eventloop.submit(() -> link.setState(state, 0)).join();
     }
 
     private static void send(Socket socket, String text) throws IOException {
