--- /dev/null
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/caller/SubmissionStateHandler.java
@@ -0,0 +1,272 @@
+package org.damasktiller.node.caller;
+
+import java.util.function.Consumer;
+import org.damasktiller.node.cluster.ClusterMember;
+import org.damasktiller.scheduler.cell.CellKeys;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
+import org.damasktiller.scheduler.model.SubmissionRecord;
+import org.damasktiller.scheduler.model.SubmissionState;
+import org.damasktiller.scheduler.port.CommitReply;
+import org.damasktiller.scheduler.port.DecisionLog;
+import org.damasktiller.scheduler.port.MetadataStore;
+import org.damasktiller.scheduler.port.ProcessRuntime;
+import org.damasktiller.scheduler.port.StoreItem;
+import org.damasktiller.scheduler.port.StoreReading;
+import org.damasktiller.scheduler.port.StoreResult;
+import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
+
+/**
+ * Handles state queries and cancellations of submissions. A submission is reported as unknown only
+ * after a linearizable read. A cancellation is one transaction, on the condition that the record
+ * has not changed since it was read.
+ */
+public final class SubmissionStateHandler {
+
+    /** The delay before a failed call to the store is retried, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 80;
+
+    /**
+     * How long to wait for the store before the outcome is reported as unknown, in milliseconds:
+     * 1.5 times the timeout of a call to the store.
+     */
+    private static final long NO_RESPONSE_TIMEOUT_MILLIS = 1_500;
+
+    /** How long before the caller's deadline the response is sent, in milliseconds. */
+    private static final long DEADLINE_MARGIN_MILLIS = 150;
+
+    /** The store. */
+    private final MetadataStore store;
+
+    /** Knows the current states of submissions in the cells that this process owns. */
+    private final ClusterMember clusterMember;
+
+    /** The clock and the timers. */
+    private final ProcessRuntime runtime;
+
+    /** The log. */
+    private final DecisionLog log;
+
+    /**
+     * Creates a handler.
+     *
+     * @param store the store
+     * @param clusterMember knows the current states of submissions in the cells that this process
+     *     owns
+     * @param runtime the clock and the timers
+     * @param log the log
+     */
+    public SubmissionStateHandler(
+            MetadataStore store,
+            ClusterMember clusterMember,
+            ProcessRuntime runtime,
+            DecisionLog log) {
+        this.store = store;
+        this.clusterMember = clusterMember;
+        this.runtime = runtime;
+        this.log = log;
+    }
+
+    /**
+     * Responds with the state of a submission.
+     *
+     * @param request the request
+     * @param callback the callback for the response, called exactly once
+     */
+    void queryState(CallerRequest request, Consumer<CallerResponse> callback) {
+        readRecord(request, false, withTimeout(request, false, callback));
+    }
+
+    /**
+     * Cancels a submission. The response holds the final state, which is not CANCELLED if the
+     * submission has already ended.
+     *
+     * @param request the request
+     * @param callback the callback for the response, called exactly once
+     */
+    void cancel(CallerRequest request, Consumer<CallerResponse> callback) {
+        readRecord(request, true, withTimeout(request, true, callback));
+    }
+
+    /**
+     * Limits the time until the response. If there is none by then, the caller learns that the
+     * outcome is unknown and can try another VM.
+     *
+     * @param request the request
+     * @param cancel whether the request is a cancellation
+     * @param callback the callback for the response
+     * @return a callback that passes on the first response and drops later ones
+     */
+    private Consumer<CallerResponse> withTimeout(
+            CallerRequest request, boolean cancel, Consumer<CallerResponse> callback) {
+        boolean[] responded = new boolean[1];
+        Consumer<CallerResponse> respondOnce =
+                response -> {
+                    if (!responded[0]) {
+                        responded[0] = true;
+                        log(request, cancel, response);
+                        callback.accept(response);
+                    }
+                };
+        long remainingMillis =
+                request.deadlineMillis() - DEADLINE_MARGIN_MILLIS - runtime.nowMillis();
+        runtime.schedule(
+                Math.max(0, Math.min(remainingMillis, NO_RESPONSE_TIMEOUT_MILLIS)),
+                () ->
+                        respondOnce.accept(
+                                CallerResponse.outcomeUnknown(
+                                        "the store did not respond in time")));
+        return respondOnce;
+    }
+
+    /**
+     * Reads the record of a submission from the store.
+     *
+     * @param request the request
+     * @param cancel whether the request is a cancellation
+     * @param callback the callback for the response
+     */
+    private void readRecord(
+            CallerRequest request, boolean cancel, Consumer<CallerResponse> callback) {
+        store.read(
+                CellKeys.submission(request.id()),
+                result -> onRecord(request, cancel, callback, result));
+    }
+
+    /**
+     * Responds to a state query, or writes the cancellation of a submission that has not ended.
+     *
+     * @param request the request
+     * @param cancel whether the request is a cancellation
+     * @param callback the callback for the response
+     * @param result the result of the read
+     */
+    private void onRecord(
+            CallerRequest request,
+            boolean cancel,
+            Consumer<CallerResponse> callback,
+            StoreResult<StoreReading> result) {
+        if (result.status() == StoreStatus.ABSENT) {
+            callback.accept(CallerResponse.unknownSubmission());
+            return;
+        }
+        StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
+        SubmissionRecord record =
+                item == null ? null : StoredValueCodec.decode(item.value(), SubmissionRecord.class);
+        if (item == null || record == null) {
+            retryOrRespond(request, cancel, callback, result.status());
+        } else if (record.state().isFinal() || !cancel) {
+            callback.accept(CallerResponse.state(reportedState(request, record)));
+        } else {
+            writeCancellation(request, callback, record, item.revision());
+        }
+    }
+
+    /**
+     * Returns the state to report. The record says QUEUED until the submission ends; if it has not
+     * ended, the state comes from the owner of the cell.
+     *
+     * @param request the request
+     * @param record the stored record
+     * @return the state; RUNNING if another process owns the cell, if the owner does not know the
+     *     submission, or if the owner has seen the end but has not stored it
+     */
+    private SubmissionState reportedState(CallerRequest request, SubmissionRecord record) {
+        if (record.state().isFinal()) {
+            return record.state();
+        }
+        SubmissionState ownerState = clusterMember.submissionState(record.cell(), request.id());
+        return ownerState == null || ownerState.isFinal() ? SubmissionState.RUNNING : ownerState;
+    }
+
+    /**
+     * Stores a cancellation.
+     *
+     * @param request the request
+     * @param callback the callback for the response
+     * @param record the stored record
+     * @param revision the revision of the record, which must not have changed
+     */
+    private void writeCancellation(
+            CallerRequest request,
+            Consumer<CallerResponse> callback,
+            SubmissionRecord record,
+            long revision) {
+        SubmissionRecord cancelledRecord =
+                new SubmissionRecord(
+                        record.cell(),
+                        record.route(),
+                        SubmissionState.CANCELLED,
+                        runtime.unixMillis());
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.submission(request.id()), revision)
+                        .put(
+                                CellKeys.submission(request.id()),
+                                StoredValueCodec.encode(cancelledRecord))
+                        .remove(CellKeys.openSubmissionsPrefix(record.cell()) + request.id());
+        store.commit(commit, result -> onCancellationResult(request, callback, result));
+    }
+
+    /**
+     * Handles the result of a cancellation.
+     *
+     * @param request the request
+     * @param callback the callback for the response
+     * @param result the store's response
+     */
+    private void onCancellationResult(
+            CallerRequest request,
+            Consumer<CallerResponse> callback,
+            StoreResult<CommitReply> result) {
+        if (result.status() == StoreStatus.OK) {
+            callback.accept(CallerResponse.state(SubmissionState.CANCELLED));
+        } else {
+            retryOrRespond(request, true, callback, result.status());
+        }
+    }
+
+    /**
+     * Schedules another read, or responds that the outcome is unknown if the caller's deadline is
+     * too close for one.
+     *
+     * @param request the request
+     * @param cancel whether the request is a cancellation
+     * @param callback the callback for the response
+     * @param status the result of the last call to the store
+     */
+    private void retryOrRespond(
+            CallerRequest request,
+            boolean cancel,
+            Consumer<CallerResponse> callback,
+            StoreStatus status) {
+        if (runtime.nowMillis() + RETRY_DELAY_MILLIS
+                < request.deadlineMillis() - DEADLINE_MARGIN_MILLIS) {
+            runtime.schedule(RETRY_DELAY_MILLIS, () -> readRecord(request, cancel, callback));
+        } else {
+            callback.accept(
+                    CallerResponse.outcomeUnknown(
+                            "the call to the store failed with status " + status));
+        }
+    }
+
+    /**
+     * Logs each cancellation, and each state query that failed.
+     *
+     * @param request the request
+     * @param cancel whether the request is a cancellation
+     * @param response the response
+     */
+    private void log(CallerRequest request, boolean cancel, CallerResponse response) {
+        if (cancel || response.retryAfterSeconds() > 0) {
+            log.log(
+                    cancel ? "cancel.answered" : "question.failed",
+                    "id",
+                    request.id(),
+                    "route",
+                    request.route().name(),
+                    "status",
+                    response.status());
+        }
+    }
+}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/CellElection.java
@@ -4,8 +4,7 @@
 import org.damasktiller.scheduler.cell.CellTerm;
 import org.damasktiller.scheduler.cell.HeadRecord;
 import org.damasktiller.scheduler.cell.OwnerRecord;
-import org.damasktiller.scheduler.cell.StoredValues;
-import org.damasktiller.scheduler.port.Commit;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.port.CommitReply;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
@@ -14,21 +13,23 @@
 import org.damasktiller.scheduler.port.StoreReading;
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
 
 /**
- * Wins the ownership of one cell: creates the owner's key and raises the generation in the head key
- * in one transaction. A process that finds its own key left over, from before its restart or from a
- * transaction whose answer was lost, takes the cell with a new generation.
+ * Takes part in the election of the owner of one cell. An attempt is one transaction that writes
+ * the owner key, under the lease of the process, and increments the generation in the head key. A
+ * process that finds an owner key of its own VM, left by the process before a restart or by a
+ * transaction whose response was lost, takes over the cell with a new generation.
  */
 public final class CellElection {
 
-    /** The time between the attempts of processes that follow in rank, in milliseconds. */
-    private static final long RANK_MILLIS = 200;
+    /** The delay of an attempt for each rank below the first, in milliseconds. */
+    private static final long RANK_DELAY_MILLIS = 200;
 
     /** The cell. */
     private final String cell;
 
-    /** The zone of the cell, empty if it spans all. */
+    /** The availability zone of the cell, empty if the cell spans all zones. */
     private final String zone;
 
     /** This process. */
@@ -37,10 +38,10 @@
     /** The store. */
     private final MetadataStore store;
 
-    /** The lease under which the owner's key is written. */
+    /** Holds the lease under which the owner key is written. */
     private final StoreSession session;
 
-    /** What the others publish. */
+    /** Knows the owner of each cell and the registered processes. */
     private final ClusterView view;
 
     /** The clock. */
@@ -49,48 +50,62 @@
     /** The log. */
     private final DecisionLog log;
 
-    /** Told when a term begins. */
-    private final Winner winner;
+    /** Notified when this process becomes the owner. */
+    private final TermListener termListener;
 
-    /** Whether an attempt is on its way. */
-    private boolean trying;
+    /** Whether an attempt has been started and has no result yet. */
+    private boolean attemptPending;
 
     /** Whether this process owns the cell. */
-    private boolean owning;
+    private boolean ownsCell;
 
-    /** Since when the cell has been seen without an owner, in milliseconds, or -1. */
+    /**
+     * When this process first saw the cell without an owner, on the monotonic clock, in
+     * milliseconds; -1 while the cell has an owner.
+     */
     private long vacantSinceMillis = -1;
 
     /**
-     * Creates an election that is not held yet.
+     * Creates an election; no attempt is made before {@link #attemptIfVacant} is called.
      *
      * @param cell the cell
-     * @param zone the zone of the cell, empty if it spans all
+     * @param zone the availability zone of the cell, empty if the cell spans all zones
      * @param identity this process
-     * @param cluster the shared parts
-     * @param winner told when a term begins
+     * @param context the shared dependencies
+     * @param termListener notified when this process becomes the owner
      */
     CellElection(
-            String cell, String zone, NodeIdentity identity, ClusterParts cluster, Winner winner) {
+            String cell,
+            String zone,
+            NodeIdentity identity,
+            ClusterContext context,
+            TermListener termListener) {
         this.cell = cell;
         this.zone = zone;
         this.identity = identity;
-        this.store = cluster.store();
-        this.session = cluster.session();
-        this.view = cluster.view();
-        this.runtime = cluster.runtime();
-        this.log = cluster.log();
-        this.winner = winner;
+        this.store = context.store();
+        this.session = context.session();
+        this.view = context.view();
+        this.runtime = context.runtime();
+        this.log = context.log();
+        this.termListener = termListener;
     }
 
-    /** Tries to win the cell if it has no owner and it is this process's turn. */
-    void consider() {
-        if (owning || trying || !view.synced() || session.lease() == StoreSession.NONE) {
+    /**
+     * Starts an attempt if the cell has no owner, or an owner key of this VM, and has been vacant
+     * long enough for the rank of this process. Called at regular intervals and after each change
+     * in the view.
+     */
+    void attemptIfVacant() {
+        if (ownsCell
+                || attemptPending
+                || !view.isSynced()
+                || session.leaseId() == StoreSession.NO_LEASE) {
             return;
         }
         ClusterView.Owner owner = view.owner(cell);
-        boolean own = owner != null && owner.record().node().equals(identity.node());
-        if (owner != null && !own) {
+        boolean ownedByThisNode = owner != null && owner.record().node().equals(identity.node());
+        if (owner != null && !ownedByThisNode) {
             vacantSinceMillis = -1;
             return;
         }
@@ -98,29 +113,29 @@
         if (vacantSinceMillis < 0) {
             vacantSinceMillis = now;
         }
-        int rank = own ? 0 : ElectionRank.of(cell, zone, view.nodes(), identity.node());
-        if (now - vacantSinceMillis >= rank * RANK_MILLIS) {
-            trying = true;
+        int rank = ownedByThisNode ? 0 : ElectionRank.of(cell, zone, view.nodes(), identity.node());
+        if (now - vacantSinceMillis >= rank * RANK_DELAY_MILLIS) {
+            attemptPending = true;
             long revision = owner == null ? StoreItem.ABSENT : owner.revision();
-            store.read(CellKeys.head(cell), result -> onHead(result, revision));
+            store.read(CellKeys.head(cell), result -> onHeadRead(result, revision));
         }
     }
 
-    /** Notes that the term has ended. */
-    void lost() {
-        owning = false;
+    /** Records that the term of this process has ended, so that new attempts are possible. */
+    void onTermEnded() {
+        ownsCell = false;
         vacantSinceMillis = -1;
     }
 
     /**
-     * Gives the cell up so that another process can take it at once.
+     * Removes the owner key, so that another process can take over before the lease expires.
      *
-     * @param ownerRevision the revision of the owner's key
+     * @param ownerRevision the revision of the owner key; if it has changed, nothing is removed
      */
     void resign(long ownerRevision) {
-        Commit commit =
-                new Commit()
-                        .expect(CellKeys.owner(cell), ownerRevision)
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.owner(cell), ownerRevision)
                         .remove(CellKeys.owner(cell));
         store.commit(
                 commit,
@@ -128,41 +143,47 @@
     }
 
     /**
-     * Takes the head and tries to win.
+     * Sends the transaction of an attempt, on the condition that neither the owner key nor the head
+     * key has changed.
      *
-     * @param result the reading
-     * @param ownerRevision the revision that the owner's key must have
+     * @param result the result of reading the head key
+     * @param ownerRevision the expected revision of the owner key, ABSENT if there must be none
      */
-    private void onHead(StoreResult<StoreReading> result, long ownerRevision) {
+    private void onHeadRead(StoreResult<StoreReading> result, long ownerRevision) {
         boolean absent = result.status() == StoreStatus.ABSENT;
         if (result.status() != StoreStatus.OK && !absent) {
-            trying = false;
+            attemptPending = false;
             return;
         }
         StoreItem item = absent ? null : result.require().item();
-        HeadRecord head = item == null ? null : StoredValues.read(item.value(), HeadRecord.class);
+        HeadRecord head =
+                item == null ? null : StoredValueCodec.decode(item.value(), HeadRecord.class);
         long generation = head == null ? 1 : head.generation() + 1;
         long headRevision = item == null ? StoreItem.ABSENT : item.revision();
         OwnerRecord record = new OwnerRecord(identity.node(), identity.process(), generation);
-        Commit commit =
-                new Commit()
-                        .expect(CellKeys.owner(cell), ownerRevision)
-                        .expect(CellKeys.head(cell), headRevision)
-                        .put(CellKeys.owner(cell), StoredValues.write(record), session.lease())
+        StoreTransaction commit =
+                new StoreTransaction()
+                        .expectRevision(CellKeys.owner(cell), ownerRevision)
+                        .expectRevision(CellKeys.head(cell), headRevision)
+                        .put(
+                                CellKeys.owner(cell),
+                                StoredValueCodec.encode(record),
+                                session.leaseId())
                         .put(
                                 CellKeys.head(cell),
-                                StoredValues.write(new HeadRecord(generation, 0, identity.node())));
-        store.commit(commit, reply -> onCommitted(reply, record));
+                                StoredValueCodec.encode(
+                                        new HeadRecord(generation, 0, identity.node())));
+        store.commit(commit, reply -> onAttemptResult(reply, record));
     }
 
     /**
-     * Takes the answer to an attempt.
+     * Handles the result of an attempt and starts the term if it succeeded.
      *
-     * @param result the answer
-     * @param record the value of the owner's key
+     * @param result the store's response
+     * @param record the value of the owner key in the transaction
      */
-    private void onCommitted(StoreResult<CommitReply> result, OwnerRecord record) {
-        trying = false;
+    private void onAttemptResult(StoreResult<CommitReply> result, OwnerRecord record) {
+        attemptPending = false;
         log.log(
                 "election.tried",
                 "cell",
@@ -174,9 +195,9 @@
                 "reason",
                 result.reason());
         if (result.status() == StoreStatus.OK) {
-            owning = true;
+            ownsCell = true;
             vacantSinceMillis = -1;
-            winner.won(
+            termListener.onTermStarted(
                     new CellTerm(
                             record.generation(),
                             record,
@@ -185,14 +206,14 @@
         }
     }
 
-    /** Told when a term begins. */
-    interface Winner {
+    /** Is notified when this process becomes the owner of the cell. */
+    interface TermListener {
 
         /**
-         * Begins a term.
+         * Called when an attempt has succeeded.
          *
-         * @param term the term
+         * @param term the term that begins
          */
-        void won(CellTerm term);
+        void onTermStarted(CellTerm term);
     }
 }
--- /dev/null
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -0,0 +1,323 @@
+package org.damasktiller.node.cluster;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.damasktiller.scheduler.cell.CellEnvironment;
+import org.damasktiller.scheduler.cell.CellLayout;
+import org.damasktiller.scheduler.cell.CellOwner;
+import org.damasktiller.scheduler.cell.CellSettings;
+import org.damasktiller.scheduler.cell.CellTerm;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
+import org.damasktiller.scheduler.model.Manifest;
+import org.damasktiller.scheduler.model.SubmissionState;
+import org.damasktiller.scheduler.port.AdviceClient;
+import org.damasktiller.scheduler.port.DecisionLog;
+import org.damasktiller.scheduler.port.MetadataStore;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
+import org.damasktiller.scheduler.port.ProcessRuntime;
+import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
+import org.damasktiller.scheduler.port.WorkerClient;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Manages the membership of this process in the cluster: registers the process under a lease, takes
+ * part in the election of each cell's owner, and runs a {@link CellOwner} for each cell that it has
+ * won. Used on the thread of the event loop only.
+ */
+public final class ClusterMember {
+
+    /** The interval at which vacant cells are looked for, in milliseconds. */
+    private static final long ELECTION_INTERVAL_MILLIS = 100;
+
+    /** The interval at which the registration of this process is checked, in milliseconds. */
+    private static final long REGISTRATION_CHECK_MILLIS = 1_000;
+
+    /**
+     * The longest round trip for which the store counts as near, in milliseconds: less than a round
+     * trip between regions.
+     */
+    private static final long NEAR_STORE_MAX_MILLIS = 25;
+
+    /**
+     * The delay between the first registration of this process and its first election, in
+     * milliseconds, in which other processes that start at the same time can register.
+     */
+    private static final long FIRST_ELECTION_DELAY_MILLIS = 400;
+
+    /** The identity of this process. */
+    private final NodeIdentity identity;
+
+    /** The settings of the cells. */
+    private final CellSettings settings;
+
+    /** Maps services and zones to cells. */
+    private final CellLayout layout;
+
+    /** The dependencies that all elections share. */
+    private final ClusterContext context;
+
+    /** The calls to workers. */
+    private final WorkerClient calls;
+
+    /** The calls to the advice service. */
+    private final AdviceClient advice;
+
+    /** Reads and writes the platform's record formats. */
+    private final PlatformRecordDecoder formats;
+
+    /** The election of each cell in the current and earlier manifests, by the cell's name. */
+    private final Map<String, CellElection> elections = new HashMap<>();
+
+    /** The owners of the cells that this process has won, by the cell's name. */
+    private final Map<String, CellOwner> owners = new HashMap<>();
+
+    /** The terms of the cells that this process has won, by the cell's name. */
+    private final Map<String, CellTerm> terms = new HashMap<>();
+
+    /** The current manifest, or null before the first one has been read. */
+    private @Nullable Manifest manifest;
+
+    /**
+     * When the process was first registered, on the monotonic clock, in milliseconds, or -1 before.
+     */
+    private long registeredMillis = -1;
+
+    /** Whether the process is leaving the cluster. */
+    private boolean leaving;
+
+    /**
+     * Creates a member that is not started yet.
+     *
+     * @param identity the identity of this process
+     * @param layout maps services and zones to cells
+     * @param settings the settings of the cells
+     * @param store the store
+     * @param calls the calls to workers
+     * @param advice the calls to the advice service
+     * @param formats reads and writes the platform's record formats
+     * @param runtime the clock and the timers
+     * @param log the log
+     */
+    public ClusterMember(
+            NodeIdentity identity,
+            CellLayout layout,
+            CellSettings settings,
+            MetadataStore store,
+            WorkerClient calls,
+            AdviceClient advice,
+            PlatformRecordDecoder formats,
+            ProcessRuntime runtime,
+            DecisionLog log) {
+        this.identity = identity;
+        this.layout = layout;
+        this.settings = settings;
+        this.calls = calls;
+        this.advice = advice;
+        this.formats = formats;
+        StoreSession session = new StoreSession(store, runtime, log, settings.storeLeaseMillis());
+        ClusterView view = new ClusterView(store, runtime, log, this::attemptElections);
+        this.context = new ClusterContext(store, session, view, runtime, log);
+    }
+
+    /** Starts the lease, the view, the registration and the elections. */
+    public void start() {
+        context.session().start();
+        context.view().start();
+        registerPeriodically();
+        attemptElectionsPeriodically();
+    }
+
+    /** Ends the terms of all owned cells, removes their owner keys, and stops taking new cells. */
+    public void leave() {
+        leaving = true;
+        Map<String, CellOwner> ownersToStop = new HashMap<>(owners);
+        ownersToStop.forEach(
+                (cell, owner) -> {
+                    CellTerm term = terms.get(cell);
+                    owner.stop("the process is leaving the cluster");
+                    CellElection election = elections.get(cell);
+                    if (term != null && election != null) {
+                        election.resign(term.headRevision());
+                    }
+                });
+    }
+
+    /** Ends the lease of the process, which removes all keys written under it. */
+    public void close() {
+        context.session().close();
+    }
+
+    /**
+     * Applies a new version of the manifest: adds elections for new cells and updates the owners.
+     *
+     * @param next the new version
+     */
+    public void updateManifest(Manifest next) {
+        manifest = next;
+        for (String service : next.services()) {
+            for (String cell : layout.cellsOf(service)) {
+                elections.computeIfAbsent(cell, this::createElection);
+            }
+        }
+        owners.values().forEach(owner -> owner.updateManifest(next));
+        attemptElections();
+    }
+
+    /**
+     * Tells whether the store has responded recently.
+     *
+     * @return whether the store counts as reachable
+     */
+    public boolean isStoreReachable() {
+        return context.session().isReachable();
+    }
+
+    /**
+     * Returns how many submissions of a route are pending, that is, wait for the start of their
+     * first task.
+     *
+     * @param route the name of the route
+     * @return the number over all cells
+     */
+    public int pendingCount(String route) {
+        return context.view().pendingCount(route);
+    }
+
+    /**
+     * Returns the state of an open submission in a cell that this process owns.
+     *
+     * @param cell the cell's name
+     * @param id the submission's identifier
+     * @return the state, or null if this process does not own the cell or does not know the
+     *     submission
+     */
+    public @Nullable SubmissionState submissionState(String cell, String id) {
+        CellOwner owner = owners.get(cell);
+        return owner == null ? null : owner.submissionState(id);
+    }
+
+    /**
+     * Creates the election of a cell.
+     *
+     * @param cell the cell's name
+     * @return the election
+     */
+    private CellElection createElection(String cell) {
+        return new CellElection(
+                cell, layout.zoneOf(cell), identity, context, term -> startTerm(cell, term));
+    }
+
+    /** Tries to win vacant cells at regular intervals. */
+    private void attemptElectionsPeriodically() {
+        attemptElections();
+        context.runtime().schedule(ELECTION_INTERVAL_MILLIS, this::attemptElectionsPeriodically);
+    }
+
+    /**
+     * Tries to win vacant cells, unless the process is leaving, has no manifest, or registered too
+     * recently.
+     */
+    private void attemptElections() {
+        boolean electionsAllowed =
+                registeredMillis >= 0
+                        && context.runtime().nowMillis() - registeredMillis
+                                >= FIRST_ELECTION_DELAY_MILLIS;
+        if (electionsAllowed && !leaving && manifest != null) {
+            elections.values().forEach(CellElection::attemptIfVacant);
+        }
+    }
+
+    /**
+     * Registers the process, and at regular intervals checks that the registration still exists,
+     * since its key disappears with an expired lease. Waits for the first renewal of the lease,
+     * which measures the round trip to the store.
+     */
+    private void registerPeriodically() {
+        if (leaving) {
+            return;
+        }
+        String key = ClusterView.NODE_PREFIX + identity.node();
+        boolean registered =
+                context.view().nodes().stream()
+                        .anyMatch(record -> record.process().equals(identity.process()));
+        long leaseId = context.session().leaseId();
+        boolean latencyKnown = context.session().fastestRenewalMillis() != Long.MAX_VALUE;
+        if (!registered && leaseId != StoreSession.NO_LEASE && latencyKnown) {
+            NodeRecord record =
+                    new NodeRecord(
+                            identity.node(),
+                            identity.process(),
+                            identity.zone(),
+                            context.session().fastestRenewalMillis() <= NEAR_STORE_MAX_MILLIS);
+            context.store()
+                    .commit(
+                            new StoreTransaction()
+                                    .put(key, StoredValueCodec.encode(record), leaseId),
+                            result -> onRegistered(result.status()));
+        }
+        long pause = registeredMillis < 0 ? ELECTION_INTERVAL_MILLIS : REGISTRATION_CHECK_MILLIS;
+        context.runtime().schedule(pause, this::registerPeriodically);
+    }
+
+    /**
+     * Records the time of the first successful registration.
+     *
+     * @param status the result of the call to the store
+     */
+    private void onRegistered(StoreStatus status) {
+        if (status == StoreStatus.OK && registeredMillis < 0) {
+            registeredMillis = context.runtime().nowMillis();
+        }
+    }
+
+    /**
+     * Starts an owner for a cell that this process has won.
+     *
+     * @param cell the cell's name
+     * @param term the term that begins
+     */
+    private void startTerm(String cell, CellTerm term) {
+        Manifest inForce = manifest;
+        if (inForce == null) {
+            return;
+        }
+        CellEnvironment environment =
+                new CellEnvironment(
+                        settings,
+                        context.store(),
+                        calls,
+                        advice,
+                        formats,
+                        context.runtime(),
+                        context.log(),
+                        inForce);
+        CellOwner owner =
+                new CellOwner(
+                        environment,
+                        cell,
+                        term,
+                        entry -> layout.cellOf(entry.service(), entry.zone()).equals(cell),
+                        reason -> endTerm(cell));
+        owners.put(cell, owner);
+        terms.put(cell, term);
+        owner.start();
+        if (leaving) {
+            leave();
+        }
+    }
+
+    /**
+     * Removes the owner of a cell whose term has ended.
+     *
+     * @param cell the cell's name
+     */
+    private void endTerm(String cell) {
+        owners.remove(cell);
+        terms.remove(cell);
+        CellElection election = elections.get(cell);
+        if (election != null) {
+            election.onTermEnded();
+        }
+    }
+}
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterView.java
@@ -7,8 +7,8 @@
 import org.damasktiller.scheduler.cell.CellKeys;
 import org.damasktiller.scheduler.cell.OwnerRecord;
 import org.damasktiller.scheduler.cell.PendingRecord;
-import org.damasktiller.scheduler.cell.PrefixWatch;
-import org.damasktiller.scheduler.cell.StoredValues;
+import org.damasktiller.scheduler.cell.PrefixWatcher;
+import org.damasktiller.scheduler.cell.StoredValueCodec;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
 import org.damasktiller.scheduler.port.ProcessRuntime;
@@ -16,66 +16,71 @@
 import org.damasktiller.scheduler.port.StoreItem;
 import org.jspecify.annotations.Nullable;
 
-/** What all processes publish: who lives, who owns which cell, and how much waits there. */
-public final class ClusterView implements PrefixWatch.Listener {
+/**
+ * Caches the keys that all processes publish in the store: the registered processes, the owner of
+ * each cell, and the counts of pending submissions. A watch keeps the cache up to date.
+ */
+public final class ClusterView implements PrefixWatcher.Listener {
 
-    /** The prefix of the keys by which processes show that they live. */
-    static final String NODES = CellKeys.PUBLISHED + "node/";
+    /** The prefix of the keys that register living processes; the name of the VM follows. */
+    static final String NODE_PREFIX = CellKeys.PUBLIC_PREFIX + "node/";
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
-    private static final long GROUPING_MILLIS = 40;
+    /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
+    private static final long BATCHING_DELAY_MILLIS = 40;
 
-    /** The watch. */
-    private final PrefixWatch watch;
+    /** Watches the published keys. */
+    private final PrefixWatcher watch;
 
-    /** Told of each change of an owner or a node. */
-    private final Runnable changed;
+    /** Called after each change except those of pending counts. */
+    private final Runnable changeListener;
 
-    /** The owner of each cell. */
+    /** The owners by the name of the cell. */
     private final Map<String, Owner> owners = new HashMap<>();
 
-    /** The counts of each cell. */
+    /** The pending counts by the name of the cell. */
     private final Map<String, PendingRecord> pending = new HashMap<>();
 
-    /** The living processes by VM. */
+    /** The registered processes by the name of the VM. */
     private final Map<String, NodeRecord> nodes = new HashMap<>();
 
-    /** Whether the keys have been read. */
+    /** Whether all keys have been read once. */
     private boolean synced;
 
     /**
-     * Creates a view that is not read yet.
+     * Creates an empty view.
      *
      * @param store the store
-     * @param runtime the timers
+     * @param runtime the clock and the timers
      * @param log the log
-     * @param changed told of each change of an owner or a node
+     * @param changeListener called after each change except those of pending counts
      */
     public ClusterView(
-            MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changed) {
-        this.changed = changed;
+            MetadataStore store, ProcessRuntime runtime, DecisionLog log, Runnable changeListener) {
+        this.changeListener = changeListener;
         this.watch =
-                new PrefixWatch(CellKeys.PUBLISHED, GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatcher(
+                        CellKeys.PUBLIC_PREFIX, BATCHING_DELAY_MILLIS, store, runtime, log, this);
     }
 
-    /** Begins to follow. */
+    /** Reads all keys and starts to watch them. */
     public void start() {
         watch.start();
     }
 
     /**
-     * Tells whether the keys have been read.
+     * Tells whether all keys have been read once. Before, a cell may have an owner that the view
+     * does not know.
      *
-     * @return whether they have
+     * @return whether the view is complete
      */
-    public boolean synced() {
+    public boolean isSynced() {
         return synced;
     }
 
     /**
      * Returns the owner of a cell.
      *
-     * @param cell the cell
+     * @param cell the cell's name
      * @return the owner, or null if the cell has none
      */
     public @Nullable Owner owner(String cell) {
@@ -83,21 +88,21 @@
     }
 
     /**
-     * Returns the living processes.
+     * Returns the registered processes.
      *
-     * @return the processes
+     * @return a live view, which changes with the next event
      */
     public Collection<NodeRecord> nodes() {
         return nodes.values();
     }
 
     /**
-     * Returns how many submissions of a route wait for their first start.
+     * Returns how many submissions of a route wait for the start of their first task.
      *
      * @param route the name of the route
      * @return the number over all cells
      */
-    public int pending(String route) {
+    public int pendingCount(String route) {
         return pending.values().stream()
                 .mapToInt(record -> record.byRoute().getOrDefault(route, 0))
                 .sum();
@@ -112,7 +117,7 @@
             put(item);
         }
         synced = true;
-        changed.run();
+        changeListener.run();
     }
 
     @Override
@@ -123,58 +128,59 @@
         } else {
             put(item);
         }
-        if (!event.key().startsWith(CellKeys.PENDING)) {
-            changed.run();
+        if (!event.key().startsWith(CellKeys.PENDING_PREFIX)) {
+            changeListener.run();
         }
     }
 
     /**
-     * Takes a key.
+     * Adds or replaces the entry of a key. An unreadable value leaves the previous entry.
      *
-     * @param item the item
+     * @param item the stored item
      */
     private void put(StoreItem item) {
         String key = item.key();
-        if (key.startsWith(CellKeys.OWNERS)) {
-            OwnerRecord record = StoredValues.read(item.value(), OwnerRecord.class);
+        if (key.startsWith(CellKeys.OWNER_PREFIX)) {
+            OwnerRecord record = StoredValueCodec.decode(item.value(), OwnerRecord.class);
             if (record != null) {
                 owners.put(
-                        key.substring(CellKeys.OWNERS.length()),
+                        key.substring(CellKeys.OWNER_PREFIX.length()),
                         new Owner(record, item.revision()));
             }
-        } else if (key.startsWith(CellKeys.PENDING)) {
-            PendingRecord record = StoredValues.read(item.value(), PendingRecord.class);
+        } else if (key.startsWith(CellKeys.PENDING_PREFIX)) {
+            PendingRecord record = StoredValueCodec.decode(item.value(), PendingRecord.class);
             if (record != null) {
-                pending.put(key.substring(CellKeys.PENDING.length()), record);
+                pending.put(key.substring(CellKeys.PENDING_PREFIX.length()), record);
             }
-        } else if (key.startsWith(NODES)) {
-            NodeRecord record = StoredValues.read(item.value(), NodeRecord.class);
+        } else if (key.startsWith(NODE_PREFIX)) {
+            NodeRecord record = StoredValueCodec.decode(item.value(), NodeRecord.class);
             if (record != null) {
-                nodes.put(key.substring(NODES.length()), record);
+                nodes.put(key.substring(NODE_PREFIX.length()), record);
             }
         }
     }
 
     /**
-     * Forgets a key.
+     * Removes the entry of a key.
      *
      * @param key the key
      */
     private void remove(String key) {
-        if (key.startsWith(CellKeys.OWNERS)) {
-            owners.remove(key.substring(CellKeys.OWNERS.length()));
-        } else if (key.startsWith(CellKeys.PENDING)) {
-            pending.remove(key.substring(CellKeys.PENDING.length()));
-        } else if (key.startsWith(NODES)) {
-            nodes.remove(key.substring(NODES.length()));
+        if (key.startsWith(CellKeys.OWNER_PREFIX)) {
+            owners.remove(key.substring(CellKeys.OWNER_PREFIX.length()));
+        } else if (key.startsWith(CellKeys.PENDING_PREFIX)) {
+            pending.remove(key.substring(CellKeys.PENDING_PREFIX.length()));
+        } else if (key.startsWith(NODE_PREFIX)) {
+            nodes.remove(key.substring(NODE_PREFIX.length()));
         }
     }
 
     /**
      * The owner of a cell.
      *
-     * @param record the value of its key
-     * @param revision the revision of its key
+     * @param record the value of the owner key
+     * @param revision the revision of the owner key, which a transaction that replaces it must
+     *     expect
      */
     public record Owner(OwnerRecord record, long revision) {}
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestFollower.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ManifestWatcher.java
@@ -2,52 +2,55 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.damasktiller.scheduler.cell.PrefixWatch;
+import org.damasktiller.scheduler.cell.PrefixWatcher;
 import org.damasktiller.scheduler.model.Manifest;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.ProcessRuntime;
 import org.damasktiller.scheduler.port.StoreEvent;
 import org.damasktiller.scheduler.port.StoreItem;
 import org.jspecify.annotations.Nullable;
 
-/** Follows the operator's manifest; the version in force never falls. */
-public final class ManifestFollower implements PrefixWatch.Listener {
+/**
+ * Watches the operator's manifest in the store and notifies a listener of each new version. Items
+ * with an older revision are ignored, so that the current manifest never goes back.
+ */
+public final class ManifestWatcher implements PrefixWatcher.Listener {
 
-    /** The pause between a change and the next call of the watch, in milliseconds. */
-    private static final long GROUPING_MILLIS = 20;
+    /** The pause after a change before the next watch call, in milliseconds; it batches changes. */
+    private static final long BATCHING_DELAY_MILLIS = 20;
 
-    /** The platform's records. */
-    private final PlatformFormats formats;
+    /** Decodes the manifest and knows its key. */
+    private final PlatformRecordDecoder formats;
 
     /** The log. */
     private final DecisionLog log;
 
-    /** Told of each new version. */
+    /** Notified of each new version. */
     private final Consumer<Manifest> listener;
 
-    /** The watch. */
-    private final PrefixWatch watch;
+    /** Watches the key of the manifest. */
+    private final PrefixWatcher watch;
 
-    /** The manifest in force, or null before the first. */
+    /** The current manifest, or null before the first one has been read. */
     private @Nullable Manifest manifest;
 
-    /** The revision of the manifest in force. */
+    /** The store's revision of the current manifest. */
     private long revision;
 
     /**
-     * Creates a follower that has not begun.
+     * Creates a watcher that is not started yet.
      *
      * @param store the store
-     * @param formats the platform's records
-     * @param runtime the timers
+     * @param formats decodes the manifest and knows its key
+     * @param runtime the clock and the timers
      * @param log the log
-     * @param listener told of each new version
+     * @param listener notified of each new version
      */
-    public ManifestFollower(
+    public ManifestWatcher(
             MetadataStore store,
-            PlatformFormats formats,
+            PlatformRecordDecoder formats,
             ProcessRuntime runtime,
             DecisionLog log,
             Consumer<Manifest> listener) {
@@ -55,18 +58,19 @@
         this.log = log;
         this.listener = listener;
         this.watch =
-                new PrefixWatch(formats.manifestKey(), GROUPING_MILLIS, store, runtime, log, this);
+                new PrefixWatcher(
+                        formats.manifestKey(), BATCHING_DELAY_MILLIS, store, runtime, log, this);
     }
 
-    /** Begins to follow. */
+    /** Reads the manifest and starts to watch it. */
     public void start() {
         watch.start();
     }
 
     /**
-     * Returns the manifest in force.
+     * Returns the current manifest.
      *
-     * @return the manifest, or null before the first
+     * @return the manifest, or null before the first one has been read
      */
     public @Nullable Manifest current() {
         return manifest;
@@ -74,23 +78,23 @@
 
     @Override
     public void onSnapshot(List<StoreItem> items, long highestRevision) {
-        items.forEach(this::take);
+        items.forEach(this::applyIfNewer);
     }
 
     @Override
     public void onChange(StoreEvent event) {
         StoreItem item = event.item();
         if (item != null) {
-            take(item);
+            applyIfNewer(item);
         }
     }
 
     /**
-     * Puts a manifest in force if it is newer.
+     * Makes a stored manifest the current one if its revision is newer and it can be decoded.
      *
-     * @param item the stored manifest
+     * @param item the stored item
      */
-    private void take(StoreItem item) {
+    private void applyIfNewer(StoreItem item) {
         if (!item.key().equals(formats.manifestKey()) || item.revision() <= revision) {
             return;
         }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/StoreSession.java
@@ -7,20 +7,24 @@
 import org.damasktiller.scheduler.port.StoreResult;
 import org.damasktiller.scheduler.port.StoreStatus;
 
-/** Keeps a lease of the store alive and tells whether the store can be reached. */
+/**
+ * Holds a lease of the store for this process: obtains it, renews it until the session is closed,
+ * and obtains a new one after it has expired. The renewals also show whether the store is reachable
+ * and how long a round trip takes.
+ */
 public final class StoreSession {
 
-    /** No lease. */
-    public static final long NONE = 0;
+    /** Stands for the identifier of a lease while there is none. */
+    public static final long NO_LEASE = 0;
 
-    /** The time between renewals, in milliseconds: four in the life of a lease. */
-    private static final long RENEW_MILLIS = 500;
+    /** The interval between renewals, in milliseconds: a quarter of the default lease duration. */
+    private static final long RENEWAL_INTERVAL_MILLIS = 500;
 
-    /** The pause after a failed call, in milliseconds. */
-    private static final long RETRY_MILLIS = 150;
+    /** The delay before a failed call is retried, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 150;
 
-    /** For how long after an answer the store counts as reachable, in milliseconds. */
-    private static final long REACHABLE_MILLIS = 1_800;
+    /** How long the store counts as reachable after its last response, in milliseconds. */
+    private static final long REACHABILITY_WINDOW_MILLIS = 1_800;
 
     /** The store. */
     private final MetadataStore store;
@@ -31,144 +35,154 @@
     /** The log. */
     private final DecisionLog log;
 
-    /** How long the lease is to live, in milliseconds. */
-    private final long lifeMillis;
+    /** The requested duration of the lease without a renewal, in milliseconds. */
+    private final long leaseDurationMillis;
 
-    /** The lease, or NONE. */
-    private long lease = NONE;
+    /** The identifier of the current lease, or NONE. */
+    private long leaseId = NO_LEASE;
 
-    /** When a call was answered last, in milliseconds. */
-    private long answeredAtMillis;
+    /**
+     * When the store last granted or renewed the lease, on the monotonic clock, in milliseconds.
+     */
+    private long lastResponseMillis;
 
-    /** How long the fastest renewal took, in milliseconds. */
-    private long fastestMillis = Long.MAX_VALUE;
+    /** The round-trip time of the fastest renewal, in milliseconds; MAX_VALUE before the first. */
+    private long fastestRenewalMillis = Long.MAX_VALUE;
 
-    /** Whether the store was reachable when last looked at. */
+    /** Whether the store was reachable at the last check, to log changes only. */
     private boolean reachable;
 
-    /** Whether the session has ended. */
+    /** Whether the session has been closed. */
     private boolean closed;
 
     /**
-     * Creates a session that has not begun.
+     * Creates a session that is not started yet; the store counts as unreachable.
      *
      * @param store the store
      * @param runtime the clock and the timers
      * @param log the log
-     * @param lifeMillis how long the lease is to live without renewal, in milliseconds
+     * @param leaseDurationMillis the requested duration of the lease without a renewal, in
+     *     milliseconds
      */
     public StoreSession(
-            MetadataStore store, ProcessRuntime runtime, DecisionLog log, long lifeMillis) {
+            MetadataStore store,
+            ProcessRuntime runtime,
+            DecisionLog log,
+            long leaseDurationMillis) {
         this.store = store;
         this.runtime = runtime;
         this.log = log;
-        this.lifeMillis = lifeMillis;
-        this.answeredAtMillis = runtime.nowMillis() - REACHABLE_MILLIS;
+        this.leaseDurationMillis = leaseDurationMillis;
+        this.lastResponseMillis = runtime.nowMillis() - REACHABILITY_WINDOW_MILLIS;
     }
 
-    /** Begins to take out the lease. */
+    /** Requests a lease and retries until it is granted. */
     public void start() {
         if (!closed) {
-            store.grantLease(lifeMillis, this::onGranted);
+            store.grantLease(leaseDurationMillis, this::onGranted);
         }
     }
 
-    /** Ends the lease and the keys under it. */
+    /** Stops the renewals and ends the lease, which removes all keys written under it. */
     public void close() {
         closed = true;
-        if (lease != NONE) {
-            store.endLease(
-                    lease,
-                    result -> log.log("session.closed", "lease", lease, "status", result.status()));
+        if (leaseId != NO_LEASE) {
+            store.revokeLease(
+                    leaseId,
+                    result ->
+                            log.log("session.closed", "lease", leaseId, "status", result.status()));
         }
     }
 
     /**
-     * Returns the lease.
+     * Returns the identifier of the current lease.
      *
-     * @return its number, or NONE
+     * @return the identifier, or NONE if no lease is held
      */
-    public long lease() {
-        return lease;
+    public long leaseId() {
+        return leaseId;
     }
 
     /**
-     * Tells whether the store has answered lately.
+     * Tells whether the store has responded recently, and logs a change since the last check.
      *
-     * @return whether it has
+     * @return whether the store counts as reachable
      */
-    public boolean reachable() {
-        boolean now = runtime.nowMillis() - answeredAtMillis < REACHABLE_MILLIS;
-        if (now != reachable) {
-            reachable = now;
+    public boolean isReachable() {
+        boolean nowReachable =
+                runtime.nowMillis() - lastResponseMillis < REACHABILITY_WINDOW_MILLIS;
+        if (nowReachable != reachable) {
+            reachable = nowReachable;
             log.log(
-                    now ? "store.regained" : "store.lost",
+                    nowReachable ? "store.regained" : "store.lost",
                     "answeredAgo",
-                    runtime.nowMillis() - answeredAtMillis);
+                    runtime.nowMillis() - lastResponseMillis);
         }
-        return now;
+        return nowReachable;
     }
 
     /**
-     * Returns how long the fastest renewal took, a measure of the distance to the store.
+     * Returns the round-trip time of the fastest renewal, which estimates the network latency to
+     * the store.
      *
-     * @return the time, in milliseconds
+     * @return the time, in milliseconds; {@link Long#MAX_VALUE} before the first renewal
      */
-    public long distanceMillis() {
-        return fastestMillis;
+    public long fastestRenewalMillis() {
+        return fastestRenewalMillis;
     }
 
     /**
-     * Takes a new lease.
+     * Handles the response to a lease request.
      *
-     * @param result the lease
+     * @param result the granted lease, or the failure
      */
     private void onGranted(StoreResult<StoreLease> result) {
         if (closed) {
             return;
         }
         if (result.status() != StoreStatus.OK) {
-            reachable();
-            runtime.schedule(RETRY_MILLIS, this::start);
+            isReachable();
+            runtime.schedule(RETRY_DELAY_MILLIS, this::start);
             return;
         }
-        lease = result.require().id();
-        answeredAtMillis = runtime.nowMillis();
-        log.log("session.began", "lease", lease, "lifeMillis", result.require().lifeMillis());
+        leaseId = result.require().id();
+        lastResponseMillis = runtime.nowMillis();
+        log.log("session.began", "lease", leaseId, "lifeMillis", result.require().ttlMillis());
         renew();
     }
 
-    /** Renews the lease. */
+    /** Sends a renewal of the lease. */
     private void renew() {
         if (closed) {
             return;
         }
-        long sent = runtime.nowMillis();
-        store.keepLease(lease, result -> onRenewed(result, sent));
+        long sentMillis = runtime.nowMillis();
+        store.renewLease(leaseId, result -> onRenewed(result, sentMillis));
     }
 
     /**
-     * Takes the answer to a renewal.
+     * Handles the response to a renewal: schedules the next one, or requests a new lease if the old
+     * one has expired.
      *
-     * @param result the answer
-     * @param sentMillis when the renewal was sent, in milliseconds
+     * @param result the store's response
+     * @param sentMillis when the renewal was sent, on the monotonic clock, in milliseconds
      */
     private void onRenewed(StoreResult<Boolean> result, long sentMillis) {
         if (closed) {
             return;
         }
-        long now = runtime.nowMillis();
+        long nowMillis = runtime.nowMillis();
         if (result.status() == StoreStatus.OK) {
-            answeredAtMillis = now;
-            fastestMillis = Math.min(fastestMillis, now - sentMillis);
-            runtime.schedule(RENEW_MILLIS, this::renew);
+            lastResponseMillis = nowMillis;
+            fastestRenewalMillis = Math.min(fastestRenewalMillis, nowMillis - sentMillis);
+            runtime.schedule(RENEWAL_INTERVAL_MILLIS, this::renew);
         } else if (result.status() == StoreStatus.ABSENT) {
-            log.log("session.lapsed", "lease", lease);
-            lease = NONE;
+            log.log("session.lapsed", "lease", leaseId);
+            leaseId = NO_LEASE;
             start();
         } else {
-            runtime.schedule(RETRY_MILLIS, this::renew);
+            runtime.schedule(RETRY_DELAY_MILLIS, this::renew);
         }
-        reachable();
+        isReachable();
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/package-info.java
@@ -1,4 +1,6 @@
-/** Which process owns which cell, and the manifest in force. */
+/**
+ * ClusterMember membership, the election of cell owners, and the watch on the operator's manifest.
+ */
 @NullMarked
 package org.damasktiller.node.cluster;
 
--- a/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/metrics/EventMetrics.java
@@ -9,39 +9,40 @@
 import org.mpierce.metrics.reservoir.hdrhistogram.HdrHistogramReservoir;
 
 /**
- * Counts the decisions that are logged, each kind whether or not its line is written, and keeps
- * histograms of the times that they tell, for each route. Used on one thread.
+ * Derives metrics from log events before it passes them on: a counter for each event name, and a
+ * histogram for each route and each field that holds a duration. Events whose lines the log drops
+ * are counted, too. Used on one thread only.
  */
 public final class EventMetrics implements DecisionLog {
 
-    /** The field of a duration, in milliseconds. */
-    private static final String MILLIS = "millis";
+    /** The name of the field that holds the duration of an operation, in milliseconds. */
+    private static final String DURATION_FIELD = "millis";
 
-    /** The field of the time that a task waited, in milliseconds. */
-    private static final String WAITED = "waited";
+    /** The name of the field that holds how long a task waited for its start, in milliseconds. */
+    private static final String WAIT_FIELD = "waited";
 
-    /** The field of the route. */
-    private static final String ROUTE = "route";
+    /** The name of the field that holds the name of the route. */
+    private static final String ROUTE_FIELD = "route";
 
-    /** The quantile of half of the values. */
+    /** The quantile of the statistic p50. */
     private static final double MEDIAN = 0.5;
 
-    /** The quantile of 99 of 100 values. */
-    private static final double TAIL = 0.99;
+    /** The quantile of the statistic p99. */
+    private static final double P99 = 0.99;
 
-    /** The log that the lines go to. */
-    private final DecisionLog next;
+    /** The log to which events are passed on. */
+    private final DecisionLog delegate;
 
-    /** The counters and histograms. */
+    /** The counters and histograms by name. */
     private final MetricRegistry registry = new MetricRegistry();
 
     /**
-     * Creates metrics without observations.
+     * Creates an empty set of metrics.
      *
-     * @param next the log that the lines go to
+     * @param delegate the log to which events are passed on
      */
-    public EventMetrics(DecisionLog next) {
-        this.next = next;
+    public EventMetrics(DecisionLog delegate) {
+        this.delegate = delegate;
     }
 
     @Override
@@ -49,43 +50,44 @@
         registry.counter(event).inc();
         String route = "";
         for (int index = 0; index + 1 < fields.length; index += 2) {
-            if (ROUTE.equals(fields[index])) {
+            if (ROUTE_FIELD.equals(fields[index])) {
                 route = "." + fields[index + 1];
             }
         }
         for (int index = 0; index + 1 < fields.length; index += 2) {
-            boolean timed = MILLIS.equals(fields[index]) || WAITED.equals(fields[index]);
-            if (timed && fields[index + 1] instanceof Long time) {
-                histogram(event + '.' + fields[index] + route).update(Math.max(0, time));
+            boolean isDuration =
+                    DURATION_FIELD.equals(fields[index]) || WAIT_FIELD.equals(fields[index]);
+            if (isDuration && fields[index + 1] instanceof Long millis) {
+                histogram(event + '.' + fields[index] + route).update(Math.max(0, millis));
             }
         }
-        next.log(event, fields);
+        delegate.log(event, fields);
     }
 
     /**
-     * Renders the metrics, one name and value a line.
+     * Renders all metrics as text.
      *
-     * @return the text
+     * @return one line for each statistic of each metric: its name, a space and its value
      */
     public String render() {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, Counter> entry : registry.getCounters().entrySet()) {
-            line(text, entry.getKey(), "count", entry.getValue().getCount());
+            appendLine(text, entry.getKey(), "count", entry.getValue().getCount());
         }
         for (Map.Entry<String, Histogram> entry : registry.getHistograms().entrySet()) {
             Snapshot snapshot = entry.getValue().getSnapshot();
-            line(text, entry.getKey(), "count", entry.getValue().getCount());
-            line(text, entry.getKey(), "p50", (long) snapshot.getValue(MEDIAN));
-            line(text, entry.getKey(), "p99", (long) snapshot.getValue(TAIL));
-            line(text, entry.getKey(), "max", snapshot.getMax());
+            appendLine(text, entry.getKey(), "count", entry.getValue().getCount());
+            appendLine(text, entry.getKey(), "p50", (long) snapshot.getValue(MEDIAN));
+            appendLine(text, entry.getKey(), "p99", (long) snapshot.getValue(P99));
+            appendLine(text, entry.getKey(), "max", snapshot.getMax());
         }
         return text.toString();
     }
 
     /**
-     * Returns a histogram.
+     * Returns the histogram of a name, which is created at its first use.
      *
-     * @param name its name
+     * @param name the name of the metric
      * @return the histogram
      */
     private Histogram histogram(String name) {
@@ -93,14 +95,14 @@
     }
 
     /**
-     * Adds a line.
+     * Appends a line for one statistic of a metric.
      *
-     * @param text the text
+     * @param text the text to append to
      * @param name the name of the metric
-     * @param figure which figure of it
-     * @param value the value
+     * @param statistic the name of the statistic, such as count or p99
+     * @param value the value of the statistic
      */
-    private static void line(StringBuilder text, String name, String figure, long value) {
-        text.append(name).append('.').append(figure).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder text, String name, String statistic, long value) {
+        text.append(name).append('.').append(statistic).append(' ').append(value).append('\n');
     }
 }
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -17,9 +17,9 @@
 import org.damasktiller.error.Step;
 import org.damasktiller.node.caller.CallerServlet;
 import org.damasktiller.node.caller.SubmissionAcceptor;
-import org.damasktiller.node.caller.SubmissionQuestions;
-import org.damasktiller.node.cluster.Cluster;
-import org.damasktiller.node.cluster.ManifestFollower;
+import org.damasktiller.node.caller.SubmissionStateHandler;
+import org.damasktiller.node.cluster.ClusterMember;
+import org.damasktiller.node.cluster.ManifestWatcher;
 import org.damasktiller.node.cluster.NodeIdentity;
 import org.damasktiller.node.log.JsonLineLog;
 import org.damasktiller.node.metrics.EventMetrics;
@@ -33,149 +33,156 @@
 import org.damasktiller.platform.settings.SettingsReader;
 import org.damasktiller.scheduler.cell.CellLayout;
 import org.damasktiller.scheduler.cell.CellSettings;
-import org.damasktiller.scheduler.port.AdviceCalls;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.MetadataStore;
 
-/** The process of an entry VM: it takes callers, and owns the cells that it wins. */
+/**
+ * The process of an entry VM. It wires all components to one event loop, listens for callers and
+ * for the load balancer, and shuts down within the grace period after SIGTERM. Each entry VM
+ * accepts submissions, and owns the cells whose elections it wins.
+ */
 public final class NodeProcess {
 
-    /** How long an answer of the store may take, in milliseconds. */
-    private static final long STORE_MILLIS = 1_000;
+    /** The timeout of a call to the store, in milliseconds. */
+    private static final long STORE_TIMEOUT_MILLIS = 1_000;
 
-    /** How long an answer of a watch may take, its wait of 1.5 s included, in milliseconds. */
-    private static final long WATCH_MILLIS = 2_600;
+    /** The timeout of a watch call, in milliseconds; the store may hold such a call for 1.5 s. */
+    private static final long WATCH_TIMEOUT_MILLIS = 2_600;
 
-    /** How long an answer of a worker may take, in milliseconds. */
-    private static final long WORKER_MILLIS = 600;
+    /** The timeout of a call to a worker, in milliseconds. */
+    private static final long WORKER_TIMEOUT_MILLIS = 600;
 
-    /** How long an answer to a look may take, its wait of 0.5 s included, in milliseconds. */
-    private static final long LOOK_MILLIS = 1_200;
+    /** The timeout of a poll of a worker, in milliseconds; the worker may hold it for 0.5 s. */
+    private static final long WORKER_POLL_TIMEOUT_MILLIS = 1_200;
 
-    /** How long an answer of the advice service may take, in milliseconds. */
-    private static final long ADVICE_MILLIS = 3_000;
+    /** The timeout of a call to the advice service, in milliseconds. */
+    private static final long ADVICE_TIMEOUT_MILLIS = 3_000;
 
-    /** How long the load balancer needs to send callers elsewhere, in milliseconds. */
-    private static final long BALANCER_MILLIS = 3_000;
+    /** The time that the load balancer needs to direct callers to other VMs, in milliseconds. */
+    private static final long LOAD_BALANCER_DRAIN_MILLIS = 3_000;
 
-    /** How much of the grace is kept for the end of the process, in milliseconds. */
+    /** The part of the grace period that is reserved for the exit, in milliseconds. */
     private static final long EXIT_MARGIN_MILLIS = 1_000;
 
-    /** The time between two looks at the requests in flight while stopping, in milliseconds. */
-    private static final long STOP_POLL_MILLIS = 50;
+    /** The interval between checks for requests in flight during shutdown, in milliseconds. */
+    private static final long STOP_POLL_INTERVAL_MILLIS = 50;
 
-    /** How long a caller's connection may be idle, in milliseconds. */
-    private static final long IDLE_MILLIS = 30_000;
+    /** How long an idle connection is kept open, in milliseconds. */
+    private static final long CONNECTION_IDLE_TIMEOUT_MILLIS = 30_000;
 
-    /** How long a caller may take to send a request, in milliseconds. */
-    private static final long MESSAGE_MILLIS = 10_000;
+    /** The timeout for reading a request or writing a response, in milliseconds. */
+    private static final long READ_WRITE_TIMEOUT_MILLIS = 10_000;
 
-    /** The path of the metrics, on the address of the load balancer. */
+    /** The path of the metrics, served on the readiness address. */
     private static final String METRICS_PATH = "/metrics";
 
-    /** The status of a process that takes callers. */
-    private static final int READY = 200;
+    /** The HTTP status of the metrics and of a process that is ready for callers. */
+    private static final int HTTP_OK = 200;
 
-    /** The status of a process that does not take callers. */
-    private static final int NOT_READY = 503;
+    /** The HTTP status of a process that is not ready for callers. */
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     /** The path of the settings file. */
-    private final Path path;
+    private final Path settingsPath;
 
-    /** The settings read at the start. */
+    /** The settings that were read at startup. */
     private final PlatformSettings settings;
 
-    /** The event loop. */
+    /** The event loop on which all components run. */
     private final Eventloop eventloop;
 
-    /** Writes the lines of the log. */
-    private final JsonLineLog lines;
+    /** Writes log events to the standard output. */
+    private final JsonLineLog jsonLog;
 
-    /** The log, which counts what it passes on. */
+    /** The log of all components; derives metrics from the events and passes them on. */
     private final EventMetrics log;
 
     /** The clock and the timers. */
-    private final LoopRuntime runtime;
+    private final EventLoopRuntime runtime;
 
-    /** The part in the cluster. */
-    private final Cluster cluster;
+    /** The membership of this process in the cluster. */
+    private final ClusterMember clusterMember;
 
-    /** The manifest. */
-    private final ManifestFollower manifest;
+    /** Watches the operator's manifest. */
+    private final ManifestWatcher manifestWatcher;
 
-    /** Takes callers. */
-    private final CallerServlet servlet;
+    /** Serves the requests of callers. */
+    private final CallerServlet callerServlet;
 
-    /** Listens for callers. */
-    private final HttpServer callers;
+    /** The HTTP server for callers. */
+    private final HttpServer callerServer;
 
-    /** Listens for the load balancer. */
-    private final HttpServer readiness;
+    /** The HTTP server for the load balancer's readiness checks and for the metrics. */
+    private final HttpServer readinessServer;
 
-    /** Whether the process is stopping. */
+    /** Whether the shutdown has begun. */
     private boolean stopping;
 
     /**
-     * Creates a process.
+     * Creates a process that is not running yet.
      *
-     * @param path the path of the settings file
+     * @param settingsPath the path of the settings file, which is read again on SIGHUP
      * @param settings the settings
      */
-    public NodeProcess(Path path, PlatformSettings settings) {
-        this.path = path;
+    public NodeProcess(Path settingsPath, PlatformSettings settings) {
+        this.settingsPath = settingsPath;
         this.settings = settings;
         Clock clock = Clock.systemUTC();
         eventloop = EventLoops.create();
-        lines = new JsonLineLog(settings.node(), clock);
-        log = new EventMetrics(lines);
-        runtime = new LoopRuntime(eventloop, clock, log);
+        jsonLog = new JsonLineLog(settings.node(), clock);
+        log = new EventMetrics(jsonLog);
+        runtime = new EventLoopRuntime(eventloop, clock, log);
         MetadataStore store =
                 new HttpMetadataStore(
-                        new PlatformCaller(eventloop, STORE_MILLIS),
-                        new PlatformCaller(eventloop, WATCH_MILLIS),
+                        new PlatformCaller(eventloop, STORE_TIMEOUT_MILLIS),
+                        new PlatformCaller(eventloop, WATCH_TIMEOUT_MILLIS),
                         settings.storeAddress());
         PlatformRecords records = new PlatformRecords();
-        CellLayout layout = new CellLayout(settings.zones());
-        CellSettings cells =
+        CellLayout cellLayout = new CellLayout(settings.zones());
+        CellSettings cellSettings =
                 CellSettings.builder()
-                        .impactMillis(settings.bounds().harmMillis())
+                        .maximumOverTargetMillis(settings.bounds().harmMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
-                        .longestWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
-                        .shortestStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
+                        .maximumWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
+                        .minimumStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
                         .build();
-        cluster =
-                new Cluster(
+        clusterMember =
+                new ClusterMember(
                         new NodeIdentity(
                                 settings.node(), UUID.randomUUID().toString(), settings.zone()),
-                        layout,
-                        cells,
+                        cellLayout,
+                        cellSettings,
                         store,
                         new HttpWorkerCalls(
-                                new PlatformCaller(eventloop, WORKER_MILLIS),
-                                new PlatformCaller(eventloop, LOOK_MILLIS)),
-                        advice(),
+                                new PlatformCaller(eventloop, WORKER_TIMEOUT_MILLIS),
+                                new PlatformCaller(eventloop, WORKER_POLL_TIMEOUT_MILLIS)),
+                        createAdviceCalls(),
                         records,
                         runtime,
                         log);
-        manifest = new ManifestFollower(store, records, runtime, log, cluster::manifest);
-        servlet =
+        manifestWatcher =
+                new ManifestWatcher(store, records, runtime, log, clusterMember::updateManifest);
+        callerServlet =
                 new CallerServlet(
-                        manifest::current,
-                        new SubmissionAcceptor(store, layout, settings.zone(), runtime, log),
-                        new SubmissionQuestions(store, cluster, runtime, log),
-                        cluster,
+                        manifestWatcher::current,
+                        new SubmissionAcceptor(store, cellLayout, settings.zone(), runtime, log),
+                        new SubmissionStateHandler(store, clusterMember, runtime, log),
+                        clusterMember,
                         runtime,
                         log);
-        callers = server(servlet, settings.callerAddress());
-        readiness = server(request -> inform(request).toPromise(), settings.readinessAddress());
+        callerServer = newServer(callerServlet, settings.callerAddress());
+        readinessServer =
+                newServer(request -> serveStatus(request).toPromise(), settings.readinessAddress());
     }
 
     /**
-     * Runs the process until it is told to stop.
+     * Runs the event loop on the current thread. After SIGTERM and an orderly shutdown, the JVM
+     * exits with code 0.
      *
      * @throws DamasktillerException with code BAD_SETTING if an address can't be listened on
      */
     public void run() {
-        lines.start(System.out);
+        jsonLog.start(System.out);
         log.log(
                 "process.start",
                 "zone",
@@ -189,8 +196,8 @@
         ProcessSignals.handle("TERM", () -> eventloop.execute(this::stop));
         ProcessSignals.handle("HUP", () -> eventloop.execute(this::reload));
         try {
-            callers.listen();
-            readiness.listen();
+            callerServer.listen();
+            readinessServer.listen();
         } catch (IOException exception) {
             throw new DamasktillerException(
                     ErrorCode.BAD_SETTING,
@@ -202,98 +209,108 @@
         }
         eventloop.execute(
                 () -> {
-                    manifest.start();
-                    cluster.start();
+                    manifestWatcher.start();
+                    clusterMember.start();
                 });
         eventloop.run();
     }
 
     /**
-     * Makes the client of the advice service.
+     * Creates the client of the advice service.
      *
-     * @return the client
+     * @return the client, or {@link AdviceCalls#NONE} if the settings have no address
      */
-    private AdviceCalls advice() {
+    private AdviceClient createAdviceCalls() {
         InetSocketAddress address = settings.adviceAddress();
         return address == null
-                ? AdviceCalls.NONE
-                : new HttpAdviceCalls(new PlatformCaller(eventloop, ADVICE_MILLIS), address);
+                ? AdviceClient.NONE
+                : new HttpAdviceCalls(
+                        new PlatformCaller(eventloop, ADVICE_TIMEOUT_MILLIS), address);
     }
 
     /**
-     * Makes a server.
+     * Creates an HTTP server that does not listen yet.
      *
-     * @param handler handles its requests
-     * @param address where it listens
+     * @param handler handles the requests
+     * @param address the address to listen on
      * @return the server
      */
-    private HttpServer server(AsyncServlet handler, InetSocketAddress address) {
+    private HttpServer newServer(AsyncServlet handler, InetSocketAddress address) {
         return HttpServer.builder(eventloop, handler)
                 .withListenAddress(address)
-                .withKeepAliveTimeout(Duration.ofMillis(IDLE_MILLIS))
-                .withReadWriteTimeout(Duration.ofMillis(MESSAGE_MILLIS))
+                .withKeepAliveTimeout(Duration.ofMillis(CONNECTION_IDLE_TIMEOUT_MILLIS))
+                .withReadWriteTimeout(Duration.ofMillis(READ_WRITE_TIMEOUT_MILLIS))
                 .build();
     }
 
     /**
-     * Answers the load balancer, and whoever asks for the metrics.
+     * Serves the metrics on their path and the readiness check on all other paths.
      *
      * @param request the request
      * @return the response
      */
-    private HttpResponse inform(HttpRequest request) {
+    private HttpResponse serveStatus(HttpRequest request) {
         if (request.getPath().equals(METRICS_PATH)) {
-            return HttpResponse.ofCode(READY).withPlainText(log.render()).build();
+            return HttpResponse.ofCode(HTTP_OK).withPlainText(log.render()).build();
         }
-        return HttpResponse.ofCode(ready() ? READY : NOT_READY).build();
+        return HttpResponse.ofCode(isReady() ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE).build();
     }
 
     /**
-     * Tells whether the process takes callers: it can accept submissions.
+     * Tells whether the process can accept submissions: it is not shutting down, has a manifest,
+     * and the store is reachable.
      *
-     * @return whether it does
+     * @return whether the process is ready for callers
      */
-    private boolean ready() {
-        return !stopping && manifest.current() != null && cluster.storeReachable();
+    private boolean isReady() {
+        return !stopping && manifestWatcher.current() != null && clusterMember.isStoreReachable();
     }
 
-    /** Reads the settings file again; what is read at the start only needs a restart to change. */
+    /**
+     * Reads the settings file again and logs whether it is valid and has changed. Changes take
+     * effect after a restart.
+     */
     private void reload() {
         try {
-            PlatformSettings read = SettingsReader.read(path);
-            log.log("process.reload", "changed", !read.equals(settings));
+            PlatformSettings reloaded = SettingsReader.read(settingsPath);
+            log.log("process.reload", "changed", !reloaded.equals(settings));
         } catch (DamasktillerException exception) {
             log.log("process.reload-failed", "reason", String.valueOf(exception.getMessage()));
         }
     }
 
-    /** Stops: hands the cells over, waits for the load balancer and the requests in flight. */
+    /**
+     * Starts the shutdown: gives up all cells, reports the process as not ready, and lets the load
+     * balancer direct callers to other VMs before the server for callers is closed.
+     */
     private void stop() {
         if (stopping) {
             return;
         }
         stopping = true;
-        log.log("process.stop", "inFlight", servlet.inFlight());
-        cluster.leave();
-        servlet.closeConnections();
-        long began = runtime.nowMillis();
-        long latest = began + settings.bounds().stopGraceMillis() - EXIT_MARGIN_MILLIS;
-        runtime.schedule(BALANCER_MILLIS, () -> finish(latest));
+        log.log("process.stop", "inFlight", callerServlet.requestsInFlight());
+        clusterMember.leave();
+        callerServlet.closeConnections();
+        long startMillis = runtime.nowMillis();
+        long deadlineMillis =
+                startMillis + settings.bounds().stopGraceMillis() - EXIT_MARGIN_MILLIS;
+        runtime.schedule(LOAD_BALANCER_DRAIN_MILLIS, () -> exitWhenIdle(deadlineMillis));
     }
 
     /**
-     * Ends the process once no request is in flight.
+     * Stops listening for callers and exits once no request is in flight.
      *
-     * @param latestMillis when the process ends at the latest, in milliseconds
+     * @param deadlineMillis when to exit even with requests in flight, on the monotonic clock, in
+     *     milliseconds
      */
-    private void finish(long latestMillis) {
-        callers.close();
-        if (servlet.inFlight() > 0 && runtime.nowMillis() < latestMillis) {
-            runtime.schedule(STOP_POLL_MILLIS, () -> finish(latestMillis));
+    private void exitWhenIdle(long deadlineMillis) {
+        callerServer.close();
+        if (callerServlet.requestsInFlight() > 0 && runtime.nowMillis() < deadlineMillis) {
+            runtime.schedule(STOP_POLL_INTERVAL_MILLIS, () -> exitWhenIdle(deadlineMillis));
             return;
         }
-        log.log("process.end", "inFlight", servlet.inFlight());
-        cluster.close();
-        runtime.schedule(STOP_POLL_MILLIS, () -> System.exit(0));
+        log.log("process.end", "inFlight", callerServlet.requestsInFlight());
+        clusterMember.close();
+        runtime.schedule(STOP_POLL_INTERVAL_MILLIS, () -> System.exit(0));
     }
 }
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -21,46 +21,46 @@
 import org.damasktiller.standin.time.PausedRuntime;
 import org.junit.jupiter.api.Test;
 
-/** Tests what a caller is told of a submission when the store fails. */
+/** Tests the responses to submissions while the store works and while it fails. */
 final class SubmissionAcceptorTest {
 
-    /** A submission's identifier. */
+    /** The identifier of the submission. */
     private static final String ID = "00000000000000a1";
 
-    /** The clock. */
+    /** The clock and the timers, which the tests advance. */
     private final PausedRuntime runtime = new PausedRuntime();
 
-    /** The store. */
+    /** The contents of the store. */
     private final StoreModel store = new StoreModel(runtime);
 
-    /** The answers. */
-    private final List<CallerAnswer> answers = new ArrayList<>();
+    /** The responses that the acceptor has sent. */
+    private final List<CallerResponse> responses = new ArrayList<>();
 
-    /** When the answer came, in milliseconds. */
-    private long answeredAtMillis;
+    /** When the last response was sent, on the clock of the test, in milliseconds. */
+    private long respondedAtMillis;
 
     @Test
     void storedSubmissionIsAccepted() {
         submit(List.of());
         assertThat(status(), equalTo(200));
-        assertThat(store.value(CellKeys.inbox("service") + ID), notNullValue());
+        assertThat(store.value(CellKeys.openSubmissionsPrefix("service") + ID), notNullValue());
     }
 
     @Test
-    void repeatedSubmissionFindsTheFirst() {
+    void repeatedSubmissionIsAccepted() {
         submit(List.of());
         submit(List.of());
         assertThat(status(), equalTo(200));
     }
 
     @Test
-    void lostAnswerIsSettledByTheSecondWrite() {
+    void lostResponseIsResolvedByRetry() {
         submit(List.of(CallFate.ANSWER_LOST));
         assertThat(status(), equalTo(200));
     }
 
     @Test
-    void refusedSubmissionIsCertainlyNotStored() {
+    void refusedSubmissionIsNeverStored() {
         submit(repeat(CallFate.REFUSED));
         assertThat(status(), equalTo(503));
         runtime.advance(20_000);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void refusalsAfterAnUnansweredWriteLeaveTheOutcomeUnknown() {
+    void refusalsAfterWriteWithoutResponseLeaveOutcomeUnknown() {
         List<CallFate> fates = new ArrayList<>(repeat(CallFate.REFUSED));
         fates.set(0, CallFate.LATE);
         submit(fates);
@@ -78,22 +78,27 @@
     }
 
     @Test
-    void silentStoreIsNotWaitedForUntilTheDeadline() {
+    void unresponsiveStoreTimesOutBeforeTheDeadline() {
         submit(repeat(CallFate.LOST));
         assertThat(status(), equalTo(504));
-        assertThat(answeredAtMillis, lessThan(1_700L));
+        assertThat(respondedAtMillis, lessThan(1_700L));
     }
 
     /**
-     * Hands in a submission.
+     * Submits the submission and advances the clock by 4 s, 1 s beyond the caller's deadline.
      *
-     * @param fates what becomes of the first calls to the store
+     * @param fates what happens to the first calls to the store; later calls succeed
      */
     private void submit(List<CallFate> fates) {
-        Iterator<CallFate> next = fates.iterator();
+        Iterator<CallFate> remainingFates = fates.iterator();
         StoreClient client =
                 new StoreClient(
-                        store, runtime, call -> next.hasNext() ? next.next() : CallFate.ANSWERED);
+                        store,
+                        runtime,
+                        call ->
+                                remainingFates.hasNext()
+                                        ? remainingFates.next()
+                                        : CallFate.ANSWERED);
         SubmissionAcceptor acceptor =
                 new SubmissionAcceptor(
                         client,
@@ -120,32 +125,32 @@
                         0,
                         false,
                         0);
-        answers.clear();
+        responses.clear();
         acceptor.accept(
                 new CallerRequest(ID, route, 1, runtime.nowMillis() + 3_000),
                 new Submission(ID, "", List.of(step), 0, 0, 0),
-                answer -> {
-                    answers.add(answer);
-                    answeredAtMillis = runtime.nowMillis();
+                response -> {
+                    responses.add(response);
+                    respondedAtMillis = runtime.nowMillis();
                 });
         runtime.advance(4_000);
     }
 
     /**
-     * Returns the status of the one answer.
+     * Returns the status of the response and checks that there is exactly one.
      *
-     * @return the status
+     * @return the HTTP status code
      */
     private int status() {
-        assertThat(answers.size(), equalTo(1));
-        return answers.get(0).status();
+        assertThat(responses.size(), equalTo(1));
+        return responses.get(0).status();
     }
 
     /**
-     * Makes a list of one fate.
+     * Returns a list with the same fate for more calls than the acceptor makes.
      *
-     * @param fate the fate
-     * @return the list
+     * @param fate what happens to each call
+     * @return 60 times the fate
      */
     private static List<CallFate> repeat(CallFate fate) {
         List<CallFate> fates = new ArrayList<>();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -1,31 +1,31 @@
 package org.damasktiller.scheduler.cell;
 
 import org.damasktiller.scheduler.model.Manifest;
-import org.damasktiller.scheduler.port.AdviceCalls;
+import org.damasktiller.scheduler.port.AdviceClient;
 import org.damasktiller.scheduler.port.DecisionLog;
 import org.damasktiller.scheduler.port.MetadataStore;
-import org.damasktiller.scheduler.port.PlatformFormats;
+import org.damasktiller.scheduler.port.PlatformRecordDecoder;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.WorkerClient;
 
 /**
- * What an owner works with.
+ * The ports, settings and manifest that a node passes to the owner of a cell.
  *
- * @param settings the settings
- * @param store the store
- * @param calls the calls to workers
- * @param advice the calls to the advice service
- * @param formats the platform's records
+ * @param settings the intervals and limits
+ * @param store the metadata store
+ * @param calls sends calls to workers
+ * @param advice sends requests to the advice service
+ * @param formats decodes the records that the platform keeps in the store
  * @param runtime the clock and the timers
- * @param log the log
- * @param manifest the manifest in force when the owner begins
+ * @param log the log of scheduling decisions
+ * @param manifest the manifest in effect when the term starts
  */
 public record CellEnvironment(
         CellSettings settings,
         MetadataStore store,
-        WorkerCalls calls,
-        AdviceCalls advice,
-        PlatformFormats formats,
+        WorkerClient calls,
+        AdviceClient advice,
+        PlatformRecordDecoder formats,
         ProcessRuntime runtime,
         DecisionLog log,
         Manifest manifest) {}
--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CommitQueue.java
@@ -0,0 +1,444 @@
+package org.damasktiller.scheduler.cell;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import org.damasktiller.scheduler.model.SubmissionRecord;
+import org.damasktiller.scheduler.port.CommitReply;
+import org.damasktiller.scheduler.port.StoreItem;
+import org.damasktiller.scheduler.port.StoreReading;
+import org.damasktiller.scheduler.port.StoreResult;
+import org.damasktiller.scheduler.port.StoreStatus;
+import org.damasktiller.scheduler.port.StoreTransaction;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Queues the changes of jobs and commits them to the store in batches, one batch at a time. Each
+ * batch replaces the head key on condition of its revision, so that a batch fails if it arrives
+ * late or was sent by a previous owner.
+ */
+final class CommitQueue {
+
+    /**
+     * The most rows of a transaction, given by the platform's documentation; each condition, write
+     * and removal is a row.
+     */
+    private static final int MAX_TRANSACTION_ROWS = 32;
+
+    /** The rows for the head, its condition and the roster, which are reserved in each batch. */
+    private static final int RESERVED_ROWS = 3;
+
+    /** The most rows of a finished job: its record, the condition on it, and two removals. */
+    private static final int FINISHED_JOB_ROWS = 4;
+
+    /** The delay after a call that was refused or got no answer, in milliseconds. */
+    private static final long RETRY_MILLIS = 60;
+
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
+
+    /** Called when a change is stored or a job turns out to be cancelled. */
+    private final Listener listener;
+
+    /** The jobs whose changes are not in a batch yet, in the order of their first change. */
+    private final Set<Job> queuedJobs = new LinkedHashSet<>();
+
+    /** The revision of the head key after the last batch that was stored. */
+    private long headRevision;
+
+    /** The number of the last batch of the term, 0 before the first. */
+    private long sequence;
+
+    /** The batch whose outcome is not known yet, or null. */
+    private @Nullable Batch batchInFlight;
+
+    /** Whether the next batch is scheduled. */
+    private boolean sendScheduled;
+
+    /** When the last batch was sent, in milliseconds. */
+    private long sentAtMillis;
+
+    /** Whether the roster has changed since the last batch that contains it. */
+    private boolean rosterQueued;
+
+    /**
+     * Creates an empty queue.
+     *
+     * @param context the shared state of the cell's owner
+     * @param listener called when a change is stored or a job turns out to be cancelled
+     */
+    CommitQueue(CellContext context, Listener listener) {
+        this.context = context;
+        this.listener = listener;
+        this.headRevision = context.term.headRevision();
+    }
+
+    /**
+     * Queues a job for the next batch after a change of its progress or state.
+     *
+     * @param job the job that has changed
+     */
+    void enqueue(Job job) {
+        job.version++;
+        queuedJobs.add(job);
+        scheduleSend();
+    }
+
+    /** Queues the roster for the next batch after a worker was added or removed. */
+    void enqueueRoster() {
+        rosterQueued = true;
+        scheduleSend();
+    }
+
+    /**
+     * Discards the unstored changes of a job whose record was changed by another process. They
+     * count as stored, so that the run ends they contain can be acknowledged.
+     *
+     * @param job the job
+     */
+    void discard(Job job) {
+        queuedJobs.remove(job);
+        job.committedVersion = job.version;
+    }
+
+    /** Schedules the next batch unless one is scheduled or in flight. */
+    private void scheduleSend() {
+        if (sendScheduled || batchInFlight != null || context.ended) {
+            return;
+        }
+        sendScheduled = true;
+        long wait = sentAtMillis + context.settings.commitIntervalMillis() - context.now();
+        context.schedule(Math.max(1, wait), this::sendNext);
+    }
+
+    /** Builds the next batch from the queued changes and sends it. */
+    private void sendNext() {
+        sendScheduled = false;
+        if (batchInFlight != null || (queuedJobs.isEmpty() && !rosterQueued)) {
+            return;
+        }
+        sequence++;
+        Batch batch = new Batch(sequence);
+        StoreTransaction commit = batch.commit;
+        commit.expectRevision(CellKeys.head(context.cell), headRevision);
+        commit.put(
+                CellKeys.head(context.cell),
+                StoredValueCodec.encode(
+                        new HeadRecord(
+                                context.term.generation(), sequence, context.term.owner().node())));
+        if (rosterQueued) {
+            rosterQueued = false;
+            addRoster(batch);
+        }
+        int rows = RESERVED_ROWS;
+        for (Job job : new ArrayList<>(queuedJobs)) {
+            int needed = job.state.isFinal() ? FINISHED_JOB_ROWS : 1;
+            if (rows + needed > MAX_TRANSACTION_ROWS) {
+                break;
+            }
+            rows += needed;
+            queuedJobs.remove(job);
+            batch.add(job);
+            addJob(commit, job);
+        }
+        batchInFlight = batch;
+        sendBatch();
+    }
+
+    /**
+     * Adds the roster to a batch: the present workers and those that previous owners may still use.
+     *
+     * @param batch the batch
+     */
+    private void addRoster(Batch batch) {
+        Set<String> ids = new TreeSet<>(context.unfencedWorkerIds);
+        for (WorkerRecord worker : context.allWorkers()) {
+            ids.add(worker.id);
+            batch.rosterWorkers.add(worker);
+        }
+        batch.commit.put(
+                CellKeys.roster(context.cell),
+                StoredValueCodec.encode(new RosterRecord(List.copyOf(ids))));
+    }
+
+    /**
+     * Adds a job to a transaction: its progress, or its final state and the removal of its open
+     * records.
+     *
+     * @param commit the transaction
+     * @param job the job
+     */
+    private void addJob(StoreTransaction commit, Job job) {
+        String progress = CellKeys.progressPrefix(context.cell) + job.id();
+        if (!job.state.isFinal()) {
+            job.progressStored = true;
+            commit.put(progress, StoredValueCodec.encode(ProgressRecord.of(job)));
+            return;
+        }
+        String key = CellKeys.submission(job.id());
+        commit.expectRevision(key, job.createdRevision);
+        commit.put(
+                key,
+                StoredValueCodec.encode(
+                        new SubmissionRecord(
+                                context.cell,
+                                job.accepted.route(),
+                                job.state,
+                                context.runtime.unixMillis())));
+        commit.remove(CellKeys.openSubmissionsPrefix(context.cell) + job.id());
+        if (job.progressStored) {
+            commit.remove(progress);
+        }
+    }
+
+    /** Sends the current batch, for the first time or again after a failure. */
+    private void sendBatch() {
+        Batch batch = batchInFlight;
+        if (batch == null || context.ended) {
+            return;
+        }
+        sentAtMillis = context.now();
+        context.store.commit(batch.commit, result -> onReply(batch, result));
+    }
+
+    /**
+     * Handles the answer to a batch.
+     *
+     * @param batch the batch
+     * @param result the answer
+     */
+    private void onReply(Batch batch, StoreResult<CommitReply> result) {
+        if (context.ended || batchInFlight != batch) {
+            return;
+        }
+        switch (result.status()) {
+            case OK -> onBatchStored(batch, result.require().revision());
+            case CONFLICT -> onConflict(batch, result.value());
+            case UNKNOWN -> context.schedule(RETRY_MILLIS, () -> readHead(batch));
+            default -> context.schedule(RETRY_MILLIS, this::sendBatch);
+        }
+    }
+
+    /**
+     * Handles a conflict. If the head key is unchanged, the condition on a finished job has failed;
+     * the batch is dissolved and its jobs are queued again, finished ones after their record was
+     * checked.
+     *
+     * @param batch the batch
+     * @param reply the current items, or null if the answer did not include them
+     */
+    private void onConflict(Batch batch, @Nullable CommitReply reply) {
+        context.log.log(
+                "commit.conflict",
+                "cell",
+                context.cell,
+                "sequence",
+                batch.sequence,
+                "jobs",
+                batch.versions.size(),
+                "conditions",
+                batch.commit.expectedRevisions().size(),
+                "told",
+                reply == null ? 0 : reply.currentItems().size());
+        if (reply == null || reply.currentRevision(CellKeys.head(context.cell)) != headRevision) {
+            readHead(batch);
+            return;
+        }
+        batchInFlight = null;
+        for (Job job : batch.versions.keySet()) {
+            if (job.state.isFinal()) {
+                checkRecord(job);
+            } else {
+                queuedJobs.add(job);
+            }
+        }
+        rosterQueued = rosterQueued || !batch.rosterWorkers.isEmpty();
+        advanceAcknowledgements();
+        scheduleSend();
+    }
+
+    /**
+     * Reads the record of a finished job after a conflict, since its caller may have cancelled it.
+     * The items in the conflict reply can't show this, because they may be incomplete.
+     *
+     * @param job the finished job
+     */
+    private void checkRecord(Job job) {
+        context.store.read(CellKeys.submission(job.id()), result -> onRecord(job, result));
+    }
+
+    /**
+     * Queues a finished job again if its record is unchanged; otherwise its caller has cancelled
+     * it.
+     *
+     * @param job the finished job
+     * @param result the reading of its record
+     */
+    private void onRecord(Job job, StoreResult<StoreReading> result) {
+        if (context.ended) {
+            return;
+        }
+        boolean absent = result.status() == StoreStatus.ABSENT;
+        if (result.status() != StoreStatus.OK && !absent) {
+            context.schedule(RETRY_MILLIS, () -> checkRecord(job));
+            return;
+        }
+        StoreItem item = absent ? null : result.require().item();
+        if (item != null && item.revision() == job.createdRevision) {
+            queuedJobs.add(job);
+        } else {
+            discard(job);
+            listener.onCancelled(job);
+            advanceAcknowledgements();
+        }
+        scheduleSend();
+    }
+
+    /**
+     * Reads the head to find out whether a batch was stored.
+     *
+     * @param batch the batch whose outcome is unknown
+     */
+    private void readHead(Batch batch) {
+        if (!context.ended && batchInFlight == batch) {
+            context.store.read(CellKeys.head(context.cell), result -> onHead(batch, result));
+        }
+    }
+
+    /**
+     * Determines from the head whether a batch was stored. Sends the batch again if it was not, and
+     * ends the term if another process has changed the head.
+     *
+     * @param batch the batch whose outcome is unknown
+     * @param result the reading of the head
+     */
+    private void onHead(Batch batch, StoreResult<StoreReading> result) {
+        if (context.ended || batchInFlight != batch) {
+            return;
+        }
+        if (result.status() != StoreStatus.OK) {
+            context.schedule(RETRY_MILLIS, () -> readHead(batch));
+            return;
+        }
+        StoreItem item = result.require().item();
+        HeadRecord head =
+                item == null ? null : StoredValueCodec.decode(item.value(), HeadRecord.class);
+        if (item == null || head == null || head.generation() != context.term.generation()) {
+            context.endTerm("the head belongs to another generation");
+        } else if (head.sequence() == batch.sequence) {
+            onBatchStored(batch, item.revision());
+        } else if (item.revision() == headRevision) {
+            sendBatch();
+        } else {
+            context.endTerm("the head was changed by another process of this generation");
+        }
+    }
+
+    /**
+     * Marks the changes of a batch as stored and schedules the next batch if more changes are
+     * queued.
+     *
+     * @param batch the batch
+     * @param revision the revision of the head key that the batch wrote
+     */
+    private void onBatchStored(Batch batch, long revision) {
+        batchInFlight = null;
+        headRevision = revision;
+        batch.versions.forEach(
+                (job, version) -> {
+                    job.committedVersion = Math.max(job.committedVersion, version);
+                    if (job.state.isFinal() && job.committedVersion == job.version) {
+                        listener.onStored(job);
+                    }
+                });
+        for (WorkerRecord worker : batch.rosterWorkers) {
+            worker.inStoredRoster = true;
+        }
+        advanceAcknowledgements();
+        if (!queuedJobs.isEmpty() || rosterQueued) {
+            scheduleSend();
+        }
+    }
+
+    /** Advances the acknowledgements of all workers over the run ends whose effects are stored. */
+    void advanceAcknowledgements() {
+        Collection<WorkerRecord> workers = context.allWorkers();
+        for (WorkerRecord worker : workers) {
+            if (!worker.pendingEnds.isEmpty()) {
+                worker.advanceAcknowledgement(
+                        context.previousOwnersFenced, context.term.runNumberBase());
+                if (worker.pendingEnds.isEmpty()) {
+                    listener.onEndsStored(worker);
+                }
+            }
+        }
+    }
+
+    /** Called with the effects of batches. */
+    interface Listener {
+
+        /**
+         * Called when the record of a finished job was changed by another process, which means that
+         * the caller has cancelled the job.
+         *
+         * @param job the job
+         */
+        void onCancelled(Job job);
+
+        /**
+         * Called when the final state of a job is stored.
+         *
+         * @param job the finished job
+         */
+        void onStored(Job job);
+
+        /**
+         * Called when the effects of all run ends that a worker has reported are stored, so that
+         * the worker can be told to discard them.
+         *
+         * @param worker the worker
+         */
+        void onEndsStored(WorkerRecord worker);
+    }
+
+    /** The changes that are stored in one transaction. */
+    private static final class Batch {
+
+        /** The number of the batch in the term. */
+        private final long sequence;
+
+        /** The transaction. */
+        private final StoreTransaction commit = new StoreTransaction();
+
+        /** The jobs that the batch stores, each with the version that is stored. */
+        private final Map<Job, Long> versions = new LinkedHashMap<>();
+
+        /**
+         * The workers in the roster that the batch stores, empty if it does not store the roster.
+         */
+        private final List<WorkerRecord> rosterWorkers = new ArrayList<>();
+
+        /**
+         * Creates an empty batch.
+         *
+         * @param sequence the number of the batch in the term
+         */
+        Batch(long sequence) {
+            this.sequence = sequence;
+        }
+
+        /**
+         * Notes that the batch stores a job at its current version.
+         *
+         * @param job the job
+         */
+        void add(Job job) {
+            versions.put(job, job.version);
+        }
+    }
+}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -98,7 +98,7 @@
     private static final double HARMLESS_FRACTION = 0.6;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Sends the CPU limits to the workers. */
     private final RunRequestSender requestSender;
@@ -109,13 +109,14 @@
     /**
      * Creates a throttle for the fillers of all workers of a cell.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param requestSender sends the CPU limits to the workers
      * @param interference learns and predicts the effect of fillers on tail latencies, by pair of
      *     images
      */
-    FillerThrottle(CellCore core, RunRequestSender requestSender, InterferenceModel interference) {
-        this.core = core;
+    FillerThrottle(
+            CellContext context, RunRequestSender requestSender, InterferenceModel interference) {
+        this.context = context;
         this.requestSender = requestSender;
         this.interference = interference;
     }
@@ -127,7 +128,7 @@
      * @param worker the worker that answered
      */
     void evaluate(WorkerRecord worker) {
-        long now = core.now();
+        long now = context.now();
         FillerThrottleState state = worker.throttleState;
         long gapMillis = now - state.evaluatedAtMillis;
         if (gapMillis < MIN_EVALUATION_GAP_MILLIS) {
@@ -199,9 +200,10 @@
                 state.setPaused(false, now);
                 worker.runs.values().forEach(run -> run.overTargetSinceMillis = RunRecord.UNKNOWN);
             }
-        } else if (maxOverTargetMillis >= core.settings.impactMillis() * PAUSE_FRACTION) {
+        } else if (maxOverTargetMillis
+                >= context.settings.maximumOverTargetMillis() * PAUSE_FRACTION) {
             state.setPaused(true, now);
-            core.log.log("filler.pause", "worker", worker.id, "overMillis", maxOverTargetMillis);
+            context.log.log("filler.pause", "worker", worker.id, "overMillis", maxOverTargetMillis);
         }
         if (maxLatencyRatio >= THROTTLE_FRACTION) {
             throttleTopContributors(worker);
@@ -295,7 +297,7 @@
                     worker.throttleState.paused
                             ? PAUSED_CPU_LIMIT_PERCENT
                             : run.unpausedCpuLimitPercent;
-            long now = core.now();
+            long now = context.now();
             boolean mayBeOverridden =
                     now < run.cpuLimitUncertainUntilMillis
                             && now - run.cpuLimitSentAtMillis >= RESEND_INTERVAL_MILLIS;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/JobTracker.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.damasktiller.scheduler.model.EndKind;
-import org.damasktiller.scheduler.model.EndView;
+import org.damasktiller.scheduler.model.EndedRun;
 import org.damasktiller.scheduler.model.Route;
 import org.damasktiller.scheduler.model.SubmissionState;
 import org.damasktiller.scheduler.model.TaskId;
@@ -26,10 +26,10 @@
     private static final int MIN_WORKERS_PER_SUSPECT = 4;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Stores the changes of jobs. */
-    private final CommitLoop commits;
+    private final CommitQueue commits;
 
     /** Stops runs. */
     private final RunRequestSender requestSender;
@@ -40,17 +40,17 @@
     /**
      * Creates a tracker for the jobs of a cell.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param commits stores the changes of jobs
      * @param requestSender stops runs
      * @param runTimes learns how long tasks take
      */
     JobTracker(
-            CellCore core,
-            CommitLoop commits,
+            CellContext context,
+            CommitQueue commits,
             RunRequestSender requestSender,
             RunTimeEstimator runTimes) {
-        this.core = core;
+        this.context = context;
         this.commits = commits;
         this.requestSender = requestSender;
         this.runTimes = runTimes;
@@ -63,7 +63,7 @@
      * @return the task, or null if the submission is not open or has no such task
      */
     @Nullable TaskRecord findTask(TaskId id) {
-        Job job = core.jobs.get(id.submission());
+        Job job = context.jobs.get(id.submission());
         return job == null || job.state.isFinal() ? null : job.findTask(id);
     }
 
@@ -80,7 +80,7 @@
         }
         if (task.step.spec.lasting() && !task.everRan) {
             task.everRan = true;
-            commits.change(job);
+            commits.enqueue(job);
         }
     }
 
@@ -94,12 +94,12 @@
      * @return the end with the version of the job that must be stored before the end is
      *     acknowledged to the worker
      */
-    PendingEnd applyEnd(WorkerRecord worker, EndView end) {
+    PendingEnd applyEnd(WorkerRecord worker, EndedRun end) {
         RunRecord record = worker.runs.get(new RunKey(end.task(), end.run()));
         if (record != null) {
             worker.removeRun(record);
         }
-        Job job = core.jobs.get(end.task().submission());
+        Job job = context.jobs.get(end.task().submission());
         TaskRecord task = findTask(end.task());
         if (job == null || task == null) {
             return new PendingEnd(end.sequence(), end.run(), job, job == null ? 0 : job.version);
@@ -111,7 +111,7 @@
         if (relevant && !task.done) {
             recordConfirmedRun(task);
             recordOutcome(job, worker, record, end);
-            core.log.log(
+            context.log.log(
                     "run.ended",
                     "task",
                     end.task(),
@@ -124,7 +124,7 @@
                     "sequence",
                     end.sequence());
             updateTask(task, worker, end);
-            commits.change(job);
+            commits.enqueue(job);
             finishIfDoneOrFailed(job);
         }
         return new PendingEnd(end.sequence(), end.run(), job, job.version);
@@ -140,7 +140,7 @@
     void applyLoss(RunRecord record, String reason) {
         record.worker.removeRun(record);
         TaskRecord task = record.task;
-        core.log.log(
+        context.log.log(
                 "run.lost",
                 "task",
                 record.taskId,
@@ -163,10 +163,10 @@
      * @param job the job
      */
     void cancel(Job job) {
-        core.log.log("job.cancelled", "id", job.id(), "cell", core.cell);
+        context.log.log("job.cancelled", "id", job.id(), "cell", context.cell);
         job.state = SubmissionState.CANCELLED;
-        commits.forget(job);
-        core.remove(job);
+        commits.discard(job);
+        context.removeJob(job);
         stopAllRuns(job);
     }
 
@@ -176,19 +176,19 @@
      * @param job the job
      */
     void close(Job job) {
-        core.remove(job);
-        core.log.log(
+        context.removeJob(job);
+        context.log.log(
                 "job.closed",
                 "route",
                 job.accepted.route(),
                 "id",
                 job.id(),
                 "cell",
-                core.cell,
+                context.cell,
                 "state",
                 job.state,
                 "millis",
-                core.now() - job.firstReadAtMillis);
+                context.now() - job.firstReadAtMillis);
     }
 
     /**
@@ -198,7 +198,7 @@
      */
     Map<String, Integer> countQueuedByRoute() {
         Map<String, Integer> counts = new TreeMap<>();
-        for (Job job : core.jobs.values()) {
+        for (Job job : context.jobs.values()) {
             if (job.state == SubmissionState.QUEUED) {
                 counts.merge(job.accepted.route(), 1, Integer::sum);
             }
@@ -213,7 +213,7 @@
      * @param worker the worker that ran it
      * @param end the end of the run
      */
-    private void updateTask(TaskRecord task, WorkerRecord worker, EndView end) {
+    private void updateTask(TaskRecord task, WorkerRecord worker, EndedRun end) {
         boolean newest = end.run() >= task.highestEndedRunNumber;
         task.highestEndedRunNumber = Math.max(task.highestEndedRunNumber, end.run());
         task.highestRunNumber = Math.max(task.highestRunNumber, end.run());
@@ -307,11 +307,11 @@
      * @param end the end of the run
      */
     private void recordOutcome(
-            Job job, WorkerRecord worker, @Nullable RunRecord record, EndView end) {
+            Job job, WorkerRecord worker, @Nullable RunRecord record, EndedRun end) {
         if (end.kind() == EndKind.DONE) {
             worker.failureDetector.recordSuccess();
             if (record != null && record.task != null && record.hasRepresentativeRunTime()) {
-                runTimes.observe(record.task.step.spec, core.now() - record.trackedSinceMillis);
+                runTimes.observe(record.task.step.spec, context.now() - record.trackedSinceMillis);
             }
         } else if (end.kind() == EndKind.FAILED) {
             recordFailure(job, worker);
@@ -330,17 +330,17 @@
         boolean failedElsewhere =
                 job.failedWorkerIds.stream().anyMatch(id -> !id.equals(worker.id));
         job.failedWorkerIds.add(worker.id);
-        long now = core.now();
+        long now = context.now();
         long suspects =
-                core.allWorkers().stream()
+                context.allWorkers().stream()
                         .filter(other -> other.failureDetector.isSuspect(now))
                         .count();
         boolean tooManySuspects =
-                (suspects + 1) * MIN_WORKERS_PER_SUSPECT > core.allWorkers().size();
+                (suspects + 1) * MIN_WORKERS_PER_SUSPECT > context.allWorkers().size();
         if (!failedElsewhere
                 && !tooManySuspects
                 && worker.failureDetector.recordFailure(job.id(), now)) {
-            core.log.log(
+            context.log.log(
                     "worker.suspect",
                     "worker",
                     worker.id,
@@ -363,7 +363,7 @@
         } else {
             return;
         }
-        core.log.log("job.over", "id", job.id(), "state", job.state);
+        context.log.log("job.over", "id", job.id(), "state", job.state);
         stopAllRuns(job);
     }
 
@@ -409,7 +409,7 @@
      * @return the number of attempts, at least 1
      */
     int maxAttempts(Job job) {
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = context.manifest.findRouteByName(job.accepted.route());
         return route == null ? DEFAULT_MAX_ATTEMPTS : Math.max(1, route.maximumAttempts());
     }
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -1,6 +1,6 @@
 package org.damasktiller.scheduler.cell;
 
-import org.damasktiller.scheduler.port.StartOrder;
+import org.damasktiller.scheduler.port.StartRequest;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 
@@ -40,7 +40,7 @@
     private static final long INVALID_BACKOFF_MILLIS = 1_000;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Called when the waiting tasks or the free resources may have changed. */
     private final Runnable onCapacityChange;
@@ -51,12 +51,12 @@
     /**
      * Creates a sender without requests in flight.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param onCapacityChange called when the waiting tasks or the free resources may have changed
      * @param onHigherToken called when a worker has seen a higher fencing token
      */
-    RunRequestSender(CellCore core, Runnable onCapacityChange, Runnable onHigherToken) {
-        this.core = core;
+    RunRequestSender(CellContext context, Runnable onCapacityChange, Runnable onHigherToken) {
+        this.context = context;
         this.onCapacityChange = onCapacityChange;
         this.onHigherToken = onHigherToken;
     }
@@ -70,7 +70,7 @@
      * @param ticket the ticket of the advice service, or an empty string if none is needed
      */
     void start(TaskRecord task, WorkerRecord worker, int runNumber, String ticket) {
-        long now = core.now();
+        long now = context.now();
         task.highestRunNumber = runNumber;
         RunRecord record =
                 new RunRecord(
@@ -84,19 +84,19 @@
         record.checkpoint = task.checkpoint;
         record.startCheckpoint = task.checkpoint;
         worker.addRun(record);
-        long leaseEnd = core.leases.leaseEnd(worker, now);
-        core.leases.noteGrant(worker, leaseEnd, now);
-        StartOrder request =
-                new StartOrder(
+        long leaseEnd = context.leases.leaseEnd(worker, now);
+        context.leases.recordGrant(worker, leaseEnd, now);
+        StartRequest request =
+                new StartRequest(
                         task.id,
                         runNumber,
                         task.step.occurrence.job.accepted.submission().payload(),
                         leaseEnd,
-                        core.term.generation(),
+                        context.term.generation(),
                         task.checkpoint,
                         ticket);
         worker.startsInFlight++;
-        core.log.log(
+        context.log.log(
                 "run.start",
                 "route",
                 task.step.occurrence.job.accepted.route(),
@@ -112,7 +112,7 @@
                 worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        core.calls.start(worker.address(), request, reply -> onStartReply(record, reply));
+        context.calls.start(worker.address(), request, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -124,7 +124,7 @@
     private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
         worker.startsInFlight--;
-        if (core.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -134,7 +134,7 @@
             }
             return;
         }
-        core.log.log(
+        context.log.log(
                 "run.refused",
                 "task",
                 record.taskId,
@@ -148,7 +148,7 @@
                 reply.reason());
         if (reply.status() == WorkerStatus.UNKNOWN) {
             worker.avoidUntilMillis =
-                    Math.max(worker.avoidUntilMillis, core.now() + UNANSWERED_BACKOFF_MILLIS);
+                    Math.max(worker.avoidUntilMillis, context.now() + UNANSWERED_BACKOFF_MILLIS);
             if (record.phase == RunPhase.STARTING) {
                 record.phase = RunPhase.UNCERTAIN;
                 record.firstConclusivePoll = worker.lastPollNumber + 1;
@@ -168,7 +168,7 @@
      */
     private void applyRejection(RunRecord record, WorkerStatus status) {
         WorkerRecord worker = record.worker;
-        long now = core.now();
+        long now = context.now();
         switch (status) {
             case FENCED -> onHigherToken.run();
             case NO_ROOM -> worker.fullUntilMillis = now + FULL_BACKOFF_MILLIS;
@@ -196,7 +196,7 @@
     void stop(RunRecord record) {
         if (record.phase != RunPhase.STOPPING) {
             record.phase = RunPhase.STOPPING;
-            core.log.log(
+            context.log.log(
                     "run.stop",
                     "task",
                     record.taskId,
@@ -214,15 +214,15 @@
      * @param record the run
      */
     void sendStop(RunRecord record) {
-        if (record.stopRequestInFlight || record.stopAcknowledged || core.over) {
+        if (record.stopRequestInFlight || record.stopAcknowledged || context.ended) {
             return;
         }
         record.stopRequestInFlight = true;
-        core.calls.stop(
+        context.calls.stop(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
-                core.term.generation(),
+                context.term.generation(),
                 reply -> onStopReply(record, reply));
     }
 
@@ -235,7 +235,7 @@
     private void onStopReply(RunRecord record, WorkerReply reply) {
         record.stopRequestInFlight = false;
         WorkerRecord worker = record.worker;
-        if (core.over || worker.runs.get(record.key()) != record) {
+        if (context.ended || worker.runs.get(record.key()) != record) {
             return;
         }
         if (reply.status() == WorkerStatus.OK) {
@@ -246,7 +246,7 @@
         if (reply.status() == WorkerStatus.FENCED) {
             onHigherToken.run();
         }
-        core.schedule(
+        context.schedule(
                 STOP_RETRY_DELAY_MILLIS,
                 () -> {
                     if (worker.runs.get(record.key()) == record) {
@@ -262,26 +262,27 @@
      *     again
      */
     void sendCpuLimit(RunRecord record) {
-        if (record.cpuLimitRequestInFlight || core.over) {
+        if (record.cpuLimitRequestInFlight || context.ended) {
             return;
         }
         record.cpuLimitRequestInFlight = true;
-        record.cpuLimitSentAtMillis = core.now();
+        record.cpuLimitSentAtMillis = context.now();
         int wantedPercent = record.wantedCpuLimitPercent;
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
-        core.calls.pace(
+        context.calls.throttle(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
                 wantedPercent,
-                core.term.generation(),
+                context.term.generation(),
                 reply -> {
                     record.cpuLimitRequestInFlight = false;
                     if (reply.status() == WorkerStatus.OK) {
                         record.cpuLimitPercent = wantedPercent;
                     } else if (reply.status() == WorkerStatus.UNKNOWN) {
                         record.cpuLimitPercent = RunRecord.UNKNOWN;
-                        record.cpuLimitUncertainUntilMillis = core.now() + MAX_ARRIVAL_DELAY_MILLIS;
+                        record.cpuLimitUncertainUntilMillis =
+                                context.now() + MAX_ARRIVAL_DELAY_MILLIS;
                     }
                 });
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -64,7 +64,7 @@
     private static final double COMPLETE_PERCENT = 100;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Selects the worker that takes over a task. */
     private final WorkerSelector workerSelector;
@@ -78,17 +78,17 @@
     /**
      * Creates a mitigator for the runs of a cell.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param workerSelector selects the worker that takes over a task
      * @param requestSender stops the runs to move
      * @param runTimes estimates run times
      */
     StragglerMitigator(
-            CellCore core,
+            CellContext context,
             WorkerSelector workerSelector,
             RunRequestSender requestSender,
             RunTimeEstimator runTimes) {
-        this.core = core;
+        this.context = context;
         this.workerSelector = workerSelector;
         this.requestSender = requestSender;
         this.runTimes = runTimes;
@@ -100,7 +100,7 @@
      * @param worker the worker that answered the poll
      */
     void evaluate(WorkerRecord worker) {
-        long now = core.now();
+        long now = context.now();
         for (RunRecord run : new ArrayList<>(worker.runs.values())) {
             TaskRecord task = run.task;
             if (run.phase == RunPhase.RUNNING && task != null && isMeasurable(task.step.spec)) {
@@ -185,14 +185,14 @@
      */
     private boolean mayMove() {
         int moving = 0;
-        for (WorkerRecord worker : core.allWorkers()) {
+        for (WorkerRecord worker : context.allWorkers()) {
             for (RunRecord run : worker.runs.values()) {
                 if (run.moving) {
                     moving++;
                 }
             }
         }
-        return moving < Math.max(MIN_MOVING_LIMIT, core.workers.size() * MAX_MOVING_FRACTION);
+        return moving < Math.max(MIN_MOVING_LIMIT, context.workers.size() * MAX_MOVING_FRACTION);
     }
 
     /**
@@ -213,7 +213,7 @@
         }
         task.moveCount++;
         run.moving = true;
-        core.log.log(
+        context.log.log(
                 "run.move",
                 "task",
                 run.taskId,
--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/SubmissionWatcher.java
@@ -0,0 +1,186 @@
+package org.damasktiller.scheduler.cell;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.damasktiller.scheduler.model.AcceptedSubmission;
+import org.damasktiller.scheduler.port.StoreEvent;
+import org.damasktiller.scheduler.port.StoreItem;
+import org.damasktiller.scheduler.port.StoreReading;
+import org.damasktiller.scheduler.port.StoreResult;
+import org.damasktiller.scheduler.port.StoreStatus;
+
+/**
+ * Watches the keys of the cell's open submissions. A new key is a new submission. A key that is
+ * removed while the job is not finished means that the caller has cancelled the submission.
+ */
+final class SubmissionWatcher implements PrefixWatcher.Listener {
+
+    /**
+     * The delay between a change and the next watch call, in milliseconds, which groups changes.
+     */
+    private static final long GROUPING_MILLIS = 10;
+
+    /** The delay before a failed read is tried again, in milliseconds. */
+    private static final long RETRY_MILLIS = 100;
+
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
+
+    /** Called for new and cancelled submissions. */
+    private final Listener listener;
+
+    /** The prefix of the keys; the submission identifier follows it. */
+    private final String prefix;
+
+    /** Reads the keys and waits for changes. */
+    private final PrefixWatcher watcher;
+
+    /**
+     * The highest revision of the last snapshot; changes up to it may be older than the snapshot.
+     */
+    private long snapshotRevision;
+
+    /**
+     * Creates a watcher that has not started.
+     *
+     * @param context the shared state of the cell's owner
+     * @param listener called for new and cancelled submissions
+     */
+    SubmissionWatcher(CellContext context, Listener listener) {
+        this.context = context;
+        this.listener = listener;
+        this.prefix = CellKeys.openSubmissionsPrefix(context.cell);
+        this.watcher =
+                new PrefixWatcher(
+                        prefix, GROUPING_MILLIS, context.store, context.runtime, context.log, this);
+    }
+
+    /** Starts to read the keys. */
+    void start() {
+        watcher.start();
+    }
+
+    /** Stops watching; the listener is not called for later changes. */
+    void close() {
+        watcher.close();
+    }
+
+    @Override
+    public void onSnapshot(List<StoreItem> items, long highestRevision) {
+        snapshotRevision = highestRevision;
+        Set<String> present = new HashSet<>();
+        for (StoreItem item : items) {
+            present.add(idOf(item.key()));
+            admit(item);
+        }
+        for (Job job : new ArrayList<>(context.jobs.values())) {
+            boolean older = job.createdRevision <= highestRevision;
+            if (older && !present.contains(job.id()) && !job.state.isFinal()) {
+                reread(prefix + job.id());
+            }
+        }
+        listener.onSnapshot();
+    }
+
+    @Override
+    public void onChange(StoreEvent event) {
+        StoreItem item = event.item();
+        String id = idOf(event.key());
+        Job job = context.jobs.get(id);
+        if (item == null) {
+            if (job != null && !job.state.isFinal() && event.revision() > job.createdRevision) {
+                listener.onCancelled(job);
+            }
+        } else if (job == null && event.revision() <= snapshotRevision) {
+            reread(event.key());
+        } else if (job == null) {
+            admit(item);
+        }
+    }
+
+    /**
+     * Reads a single key whose state is in doubt: a snapshot lacks the key of an open job, or the
+     * watch reports a change that may be older than the snapshot.
+     *
+     * @param key the key
+     */
+    private void reread(String key) {
+        context.store.read(key, result -> onReread(key, result));
+    }
+
+    /**
+     * Handles the reading of a key whose state was in doubt.
+     *
+     * @param key the key
+     * @param result the reading
+     */
+    private void onReread(String key, StoreResult<StoreReading> result) {
+        if (context.ended) {
+            return;
+        }
+        if (result.status() != StoreStatus.OK && result.status() != StoreStatus.ABSENT) {
+            context.schedule(RETRY_MILLIS, () -> reread(key));
+            return;
+        }
+        StoreItem item = result.status() == StoreStatus.OK ? result.require().item() : null;
+        Job job = context.jobs.get(idOf(key));
+        if (item != null) {
+            admit(item);
+        } else if (job != null && !job.state.isFinal()) {
+            listener.onCancelled(job);
+        }
+    }
+
+    /**
+     * Reports a submission unless it is already open or closed. A record that can't be decoded is
+     * logged and skipped.
+     *
+     * @param item the stored submission
+     */
+    private void admit(StoreItem item) {
+        String id = idOf(item.key());
+        if (context.isKnown(id)) {
+            return;
+        }
+        AcceptedSubmission accepted =
+                StoredValueCodec.decode(item.value(), AcceptedSubmission.class);
+        if (accepted == null) {
+            context.log.log("inbox.unreadable", "key", item.key(), "revision", item.revision());
+            return;
+        }
+        listener.onSubmission(new Job(accepted, item.revision(), context.now()));
+    }
+
+    /**
+     * Extracts the submission identifier from a key.
+     *
+     * @param key the key
+     * @return the identifier of the submission
+     */
+    private String idOf(String key) {
+        return key.substring(prefix.length());
+    }
+
+    /** Called for new and cancelled submissions. */
+    interface Listener {
+
+        /** Called after all keys have been read, on start and after changes were missed. */
+        void onSnapshot();
+
+        /**
+         * Called for each submission that is not yet open.
+         *
+         * @param job a new job for the submission
+         */
+        void onSubmission(Job job);
+
+        /**
+         * Called when the caller has cancelled a submission.
+         *
+         * @param job the open job of the submission
+         */
+        void onCancelled(Job job);
+    }
+}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -48,7 +48,7 @@
     private static final int MAX_STARTS_PER_PASS = 64;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Selects workers. */
     private final WorkerSelector workerSelector;
@@ -60,10 +60,10 @@
     private final RunTimeEstimator runTimes;
 
     /** Holds the tickets for routes that need advice. */
-    private final AdviceDesk advice;
+    private final AdviceTicketProvider advice;
 
     /** Tells up to which store revision this owner is proven to own the cell. */
-    private final OwnershipProof proof;
+    private final OwnershipVerifier ownership;
 
     /** The number of starts in the current pass. */
     private int startCount;
@@ -71,34 +71,35 @@
     /**
      * Creates a scheduler for the jobs of a cell.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param workerSelector selects workers
      * @param requestSender sends the start requests
      * @param runTimes estimates run times
      * @param advice holds the tickets for routes that need advice
-     * @param proof tells up to which store revision this owner is proven to own the cell
+     * @param ownership tells up to which store revision this owner is proven to own the cell
      */
     TaskScheduler(
-            CellCore core,
+            CellContext context,
             WorkerSelector workerSelector,
             RunRequestSender requestSender,
             RunTimeEstimator runTimes,
-            AdviceDesk advice,
-            OwnershipProof proof) {
-        this.core = core;
+            AdviceTicketProvider advice,
+            OwnershipVerifier ownership) {
+        this.context = context;
         this.workerSelector = workerSelector;
         this.requestSender = requestSender;
         this.runTimes = runTimes;
         this.advice = advice;
-        this.proof = proof;
+        this.ownership = ownership;
     }
 
     /** Runs one pass over all waiting steps. */
     void runPass() {
         startCount = 0;
         List<WaitingStep> waitingSteps = new ArrayList<>();
-        long dueLimitUnixMillis = core.runtime.unixMillis() + core.settings.earlyMillis();
-        for (Job job : core.jobs.values()) {
+        long dueLimitUnixMillis =
+                context.runtime.unixMillis() + context.settings.earlyStartMillis();
+        for (Job job : context.jobs.values()) {
             if (!mayStart(job)) {
                 continue;
             }
@@ -128,10 +129,10 @@
      * @return whether its tasks may start
      */
     private boolean mayStart(Job job) {
-        if (job.state.isFinal() || !proof.covers(job.createdRevision)) {
+        if (job.state.isFinal() || !ownership.covers(job.createdRevision)) {
             return false;
         }
-        return core.settled || job.createdRevision > core.term.headRevision();
+        return context.previousOwnersFenced || job.createdRevision > context.term.headRevision();
     }
 
     /**
@@ -142,7 +143,7 @@
      * @param waitingSteps the list to which the steps are added
      */
     private void collectWaitingSteps(OccurrenceRecord occurrence, List<WaitingStep> waitingSteps) {
-        long now = core.now();
+        long now = context.now();
         for (StepRecord step : occurrence.steps) {
             if (step.isDone() || !step.areDependenciesDone()) {
                 continue;
@@ -180,13 +181,13 @@
         } else if (spec.filling()) {
             rank = RANK_FILLER;
         }
-        Route route = core.manifest.byName(job.accepted.route());
+        Route route = context.manifest.findRouteByName(job.accepted.route());
         double extension = route == null ? 1 : route.extension();
         long slackMillis = route == null ? 0 : route.targetLatencyMillis();
         int priority = route == null ? 0 : route.priority();
         long remainingMillis = estimateRemainingMillis(step);
         long objectiveMillis = (long) (extension * estimateJobMillis(job)) + slackMillis;
-        long expectedLatencyMillis = core.now() + remainingMillis - job.firstReadAtMillis;
+        long expectedLatencyMillis = context.now() + remainingMillis - job.firstReadAtMillis;
         int lateness = expectedLatencyMillis <= objectiveMillis ? ON_TIME : LATE;
         if (expectedLatencyMillis > TOO_LATE_FACTOR * objectiveMillis) {
             lateness = TOO_LATE;
@@ -248,7 +249,7 @@
      * @param step the step
      */
     private void startTasks(StepRecord step) {
-        long now = core.now();
+        long now = context.now();
         for (TaskRecord task : step.tasks) {
             if (!task.isWaiting(now)) {
                 continue;
@@ -262,7 +263,7 @@
                     task,
                     worker,
                     nextRunNumber(task.highestRunNumber),
-                    advice.ticket(step, worker));
+                    advice.usableTicket(step, worker));
             startCount++;
         }
     }
@@ -273,7 +274,7 @@
      * @param step the step of the gang
      */
     private void startGang(StepRecord step) {
-        long now = core.now();
+        long now = context.now();
         int highestRunNumber = 0;
         for (TaskRecord task : step.tasks) {
             if (!task.isWaiting(now)) {
@@ -290,7 +291,7 @@
         for (int index = 0; index < workers.size(); index++) {
             WorkerRecord worker = workers.get(index);
             requestSender.start(
-                    step.tasks.get(index), worker, runNumber, advice.ticket(step, worker));
+                    step.tasks.get(index), worker, runNumber, advice.usableTicket(step, worker));
             startCount++;
         }
     }
@@ -301,8 +302,8 @@
      * @param step the step, for which no worker was found
      */
     private void requestTickets(StepRecord step) {
-        if (advice.needed(step)) {
-            advice.ask(step);
+        if (advice.isRequired(step)) {
+            advice.request(step);
         }
     }
 
@@ -313,7 +314,7 @@
      * @return the number, higher than those that any former owner has used
      */
     private int nextRunNumber(int highestRunNumber) {
-        return Math.max(highestRunNumber, core.term.runBase()) + 1;
+        return Math.max(highestRunNumber, context.term.runNumberBase()) + 1;
     }
 
     /**
--- /dev/null
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -0,0 +1,353 @@
+package org.damasktiller.scheduler.cell;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.Set;
+import org.damasktiller.scheduler.model.ActiveRun;
+import org.damasktiller.scheduler.model.EndedRun;
+import org.damasktiller.scheduler.model.Inventory;
+import org.damasktiller.scheduler.model.Resources;
+import org.damasktiller.scheduler.port.HeartbeatRequest;
+import org.damasktiller.scheduler.port.WorkerClient;
+import org.damasktiller.scheduler.port.WorkerReply;
+import org.damasktiller.scheduler.port.WorkerStatus;
+
+/**
+ * Polls the workers continuously. Each poll extends the lease of its worker and returns an
+ * inventory of active and ended runs, from which the poller updates the run records and determines
+ * which runs are certainly over.
+ */
+final class WorkerPoller {
+
+    /**
+     * Acknowledges no run end. A worker that did not answer may have restarted and numbered its run
+     * ends from 1 again. Acknowledging a number of the earlier boot would make it discard new run
+     * ends.
+     */
+    private static final long NO_ACKNOWLEDGEMENT = 0;
+
+    /**
+     * The number of run ends from which on an inventory may be truncated, given by the platform's
+     * documentation.
+     */
+    private static final int END_LIST_LIMIT_COUNT = 500;
+
+    /** The delay before the next poll while run ends wait for their commit, in milliseconds. */
+    private static final long PENDING_COMMIT_DELAY_MILLIS = 300;
+
+    /** The shared state of the cell's owner. */
+    private final CellContext context;
+
+    /** Applies run ends to jobs. */
+    private final JobTracker jobTracker;
+
+    /** Sends stop orders. */
+    private final RunRequestSender requestSender;
+
+    /** Called after each poll. */
+    private final Listener listener;
+
+    /**
+     * Creates a poller that polls no worker yet.
+     *
+     * @param context the shared state of the cell's owner
+     * @param jobTracker applies run ends to jobs
+     * @param requestSender sends stop orders
+     * @param listener called after each poll
+     */
+    WorkerPoller(
+            CellContext context,
+            JobTracker jobTracker,
+            RunRequestSender requestSender,
+            Listener listener) {
+        this.context = context;
+        this.jobTracker = jobTracker;
+        this.requestSender = requestSender;
+        this.listener = listener;
+    }
+
+    /**
+     * Polls a worker unless a poll of it is in flight. Each outcome schedules the next poll. A poll
+     * extends the lease only if the previous poll was answered, the current boot has answered this
+     * owner, and an ownership check has succeeded after a reading of the worker's clock.
+     *
+     * @param worker the worker
+     */
+    void poll(WorkerRecord worker) {
+        if (context.ended || worker.pollInFlight || context.workers.get(worker.id) != worker) {
+            return;
+        }
+        worker.pollInFlight = true;
+        worker.lastPollNumber++;
+        long pollNumber = worker.lastPollNumber;
+        long now = context.now();
+        boolean first = !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
+        long leaseEnd = WorkerClient.LEASE_UNCHANGED;
+        if (!first && worker.missedPolls == 0) {
+            leaseEnd = context.leases.leaseEnd(worker, now);
+            context.leases.recordGrant(worker, leaseEnd, now);
+        }
+        boolean sameBoot = worker.missedPolls == 0;
+        HeartbeatRequest order =
+                new HeartbeatRequest(
+                        leaseEnd,
+                        context.term.generation(),
+                        sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
+                        sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
+        context.calls.heartbeat(
+                worker.address(), order, reply -> onReply(worker, pollNumber, reply));
+    }
+
+    /**
+     * Handles the answer to a poll. An answer of a boot before the known one is ignored.
+     *
+     * @param worker the worker
+     * @param pollNumber the number of the poll
+     * @param reply the answer
+     */
+    private void onReply(WorkerRecord worker, long pollNumber, WorkerReply reply) {
+        worker.pollInFlight = false;
+        if (context.ended || context.workers.get(worker.id) != worker) {
+            return;
+        }
+        Inventory inventory = reply.inventory();
+        if (reply.status() != WorkerStatus.OK || inventory == null) {
+            worker.missedPolls++;
+            listener.onPollFailed(worker, reply);
+            context.schedule(context.settings.pollRetryMillis(), () -> poll(worker));
+            return;
+        }
+        if (reply.bootUnixMillis() < worker.bootUnixMillis) {
+            poll(worker);
+            return;
+        }
+        long now = context.now();
+        if (worker.bootUnixMillis != 0 && reply.bootUnixMillis() > worker.bootUnixMillis) {
+            onRestart(worker, reply.bootUnixMillis());
+        }
+        worker.bootUnixMillis = reply.bootUnixMillis();
+        worker.clockMillis = reply.clockMillis();
+        worker.clockReadAtMillis = now;
+        worker.answeredAtMillis = now;
+        worker.missedPolls = 0;
+        boolean first = !worker.fenced;
+        worker.fenced = true;
+        mergeInventory(worker, pollNumber, inventory);
+        listener.onPollAnswered(worker, first);
+        if (worker.pendingEnds.isEmpty()) {
+            poll(worker);
+        } else {
+            context.schedule(PENDING_COMMIT_DELAY_MILLIS, () -> poll(worker));
+        }
+    }
+
+    /**
+     * Resets a worker's record after a restart. The runs of the earlier boot are over, but an
+     * unanswered start order may still reach the new boot and therefore has to be stopped there.
+     *
+     * @param worker the worker
+     * @param bornUnixMillis when the new boot began, in milliseconds since 1970
+     */
+    void onRestart(WorkerRecord worker, long bornUnixMillis) {
+        context.log.log(
+                "worker.restarted",
+                "worker",
+                worker.id,
+                "born",
+                bornUnixMillis,
+                "before",
+                worker.bootUnixMillis);
+        worker.fenced = false;
+        worker.bootUnixMillis = bornUnixMillis;
+        worker.clockMillis = WorkerRecord.NO_CLOCK;
+        worker.provenClockMillis = WorkerRecord.NO_CLOCK;
+        worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
+        worker.appliedSequence = 0;
+        worker.acknowledgedSequence = 0;
+        worker.pendingEnds.clear();
+        for (RunRecord record : new ArrayList<>(worker.runs.values())) {
+            boolean mayArrive =
+                    record.phase == RunPhase.STARTING || record.phase == RunPhase.UNCERTAIN;
+            if (mayArrive) {
+                record.phase = RunPhase.UNCERTAIN;
+                record.stopAcknowledged = false;
+                record.firstConclusivePoll = worker.lastPollNumber + 1;
+            } else {
+                jobTracker.applyLoss(record, "the worker restarted");
+            }
+        }
+    }
+
+    /**
+     * Updates the run records from an inventory.
+     *
+     * @param worker the worker
+     * @param pollNumber the number of the poll; a run counts as missing only if the poll was sent
+     *     after the last order for the run was answered or failed
+     * @param inventory the active and ended runs of the worker
+     */
+    private void mergeInventory(WorkerRecord worker, long pollNumber, Inventory inventory) {
+        for (EndedRun end : inventory.ended()) {
+            if (end.sequence() > worker.appliedSequence) {
+                worker.appliedSequence = end.sequence();
+                worker.pendingEnds.add(jobTracker.applyEnd(worker, end));
+            }
+        }
+        worker.advanceAcknowledgement(context.previousOwnersFenced, context.term.runNumberBase());
+        Set<RunKey> listedKeys = new HashSet<>();
+        for (ActiveRun view : inventory.running()) {
+            listedKeys.add(new RunKey(view.task(), view.run()));
+            mergeRun(worker, view);
+        }
+        boolean complete = inventory.ended().size() < END_LIST_LIMIT_COUNT;
+        for (RunRecord record : new ArrayList<>(worker.runs.values())) {
+            if (complete
+                    && !listedKeys.contains(record.key())
+                    && pollNumber >= record.firstConclusivePoll) {
+                onMissingRun(record);
+            }
+        }
+    }
+
+    /**
+     * Updates the record of a run that the worker lists as active, or creates one.
+     *
+     * @param worker the worker
+     * @param view the run as the worker lists it
+     */
+    private void mergeRun(WorkerRecord worker, ActiveRun view) {
+        RunRecord record = worker.runs.get(new RunKey(view.task(), view.run()));
+        if (record == null) {
+            record = adoptRun(worker, view);
+        }
+        if (record.phase == RunPhase.STARTING || record.phase == RunPhase.UNCERTAIN) {
+            record.phase = RunPhase.RUNNING;
+        }
+        if (record.task != null && record.phase == RunPhase.RUNNING) {
+            jobTracker.recordConfirmedRun(record.task);
+        }
+        record.checkpoint = view.checkpoint();
+        record.reportedLoad = view.load();
+        record.progressPercent = view.progressPercent();
+    }
+
+    /**
+     * Creates a record for an active run that this owner does not know, usually one that a previous
+     * owner started. The run is stopped if its task is unknown, done or already running elsewhere.
+     *
+     * @param worker the worker
+     * @param view the run as the worker lists it
+     * @return the record of the run
+     */
+    private RunRecord adoptRun(WorkerRecord worker, ActiveRun view) {
+        TaskRecord task = jobTracker.findTask(view.task());
+        boolean wanted = task != null && !task.done && mayContinue(task, view);
+        Resources reserved = task == null ? Resources.NONE : task.step.spec.reserved();
+        RunRecord record =
+                new RunRecord(
+                        view.task(),
+                        view.run(),
+                        worker,
+                        wanted ? task : null,
+                        reserved,
+                        RunPhase.RUNNING,
+                        context.now());
+        record.cpuLimitPercent = RunRecord.UNKNOWN;
+        record.everThrottled = true;
+        worker.addRun(record);
+        if (task != null) {
+            task.highestRunNumber = Math.max(task.highestRunNumber, view.run());
+        }
+        context.log.log(
+                "run.adopted",
+                "task",
+                view.task(),
+                "run",
+                view.run(),
+                "worker",
+                worker.id,
+                "wanted",
+                wanted);
+        if (!wanted) {
+            requestSender.stop(record);
+        }
+        return record;
+    }
+
+    /**
+     * Returns whether an adopted run may continue.
+     *
+     * @param task the task of the run
+     * @param view the run as the worker lists it
+     * @return true if no other run of the task is or may be active, and no run with this number or
+     *     a higher one has ended
+     */
+    private static boolean mayContinue(TaskRecord task, ActiveRun view) {
+        return task.runs.isEmpty() && view.run() > task.highestEndedRunNumber;
+    }
+
+    /**
+     * Handles a run that is missing from a complete inventory. A run that may still start is
+     * stopped; any other run is over.
+     *
+     * @param record the run
+     */
+    private void onMissingRun(RunRecord record) {
+        switch (record.phase) {
+            case UNCERTAIN -> requestSender.stop(record);
+            case STOPPING -> {
+                if (record.stopAcknowledged) {
+                    jobTracker.applyLoss(
+                            record, "the run was stopped before its start order arrived");
+                } else {
+                    requestSender.sendStop(record);
+                }
+            }
+            case RUNNING -> jobTracker.applyLoss(record, "the worker no longer lists the run");
+            default -> {
+                return;
+            }
+        }
+    }
+
+    /**
+     * Marks the runs of a worker as lost if all of its leases have certainly expired. Runs whose
+     * start order may still arrive are kept.
+     *
+     * @param worker the worker
+     */
+    void expireRuns(WorkerRecord worker) {
+        if (context.now() < worker.leasesExpireAtMillis) {
+            return;
+        }
+        for (RunRecord record : new ArrayList<>(worker.runs.values())) {
+            boolean mayArrive =
+                    record.phase == RunPhase.UNCERTAIN || record.phase == RunPhase.STARTING;
+            if (!mayArrive
+                    || context.now() - record.trackedSinceMillis
+                            > RunRequestSender.MAX_ARRIVAL_DELAY_MILLIS) {
+                jobTracker.applyLoss(record, "the lease of the worker expired");
+            }
+        }
+    }
+
+    /** Called after each poll. */
+    interface Listener {
+
+        /**
+         * Called after the inventory of an answered poll was processed.
+         *
+         * @param worker the worker
+         * @param first whether this is the first answer of the worker's current boot to this owner
+         */
+        void onPollAnswered(WorkerRecord worker, boolean first);
+
+        /**
+         * Called when a poll got no answer or was refused.
+         *
+         * @param worker the worker
+         * @param reply the refusal, or the reason why there is no answer
+         */
+        void onPollFailed(WorkerRecord worker, WorkerReply reply);
+    }
+}
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -77,23 +77,24 @@
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** The shared state of the cell's owner. */
-    private final CellCore core;
+    private final CellContext context;
 
     /** Predicts the impact of fillers on serving tasks. */
     private final FillerThrottle fillerThrottle;
 
     /** Holds the tickets for routes that need advice. */
-    private final AdviceDesk advice;
+    private final AdviceTicketProvider advice;
 
     /**
      * Creates a selector of workers.
      *
-     * @param core the shared state of the cell's owner
+     * @param context the shared state of the cell's owner
      * @param fillerThrottle predicts the impact of fillers on serving tasks
      * @param advice holds the tickets for routes that need advice
      */
-    WorkerSelector(CellCore core, FillerThrottle fillerThrottle, AdviceDesk advice) {
-        this.core = core;
+    WorkerSelector(
+            CellContext context, FillerThrottle fillerThrottle, AdviceTicketProvider advice) {
+        this.context = context;
         this.advice = advice;
         this.fillerThrottle = fillerThrottle;
     }
@@ -107,8 +108,8 @@
     @Nullable WorkerRecord selectWorker(TaskRecord task) {
         WorkerRecord best = null;
         double bestScore = REJECTED_SCORE;
-        boolean adviceNeeded = advice.needed(task.step);
-        for (WorkerRecord worker : core.allWorkers()) {
+        boolean adviceNeeded = advice.isRequired(task.step);
+        for (WorkerRecord worker : context.allWorkers()) {
             if (!isEligible(task, worker, adviceNeeded)
                     || !worker.freeResources().covers(task.step.spec.reserved())) {
                 continue;
@@ -151,10 +152,10 @@
     private List<WorkerRecord> assignGang(StepRecord step, String rack) {
         Map<WorkerRecord, Integer> assignedCounts = new HashMap<>();
         List<WorkerRecord> selected = new ArrayList<>();
-        List<WorkerRecord> byFreeCpu = new ArrayList<>(core.allWorkers());
+        List<WorkerRecord> byFreeCpu = new ArrayList<>(context.allWorkers());
         byFreeCpu.sort(Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         Resources need = step.spec.reserved();
-        boolean adviceNeeded = advice.needed(step);
+        boolean adviceNeeded = advice.isRequired(step);
         for (TaskRecord task : step.tasks) {
             for (WorkerRecord worker : byFreeCpu) {
                 int assignedHere = assignedCounts.getOrDefault(worker, 0);
@@ -182,7 +183,7 @@
      */
     private Set<String> possibleRacks() {
         Set<String> racks = new TreeSet<>();
-        core.allWorkers().forEach(worker -> racks.addAll(worker.entry.labels()));
+        context.allWorkers().forEach(worker -> racks.addAll(worker.entry.labels()));
         return racks;
     }
 
@@ -207,7 +208,7 @@
      * @return whether the worker is eligible
      */
     private boolean isEligible(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
-        long now = core.now();
+        long now = context.now();
         StepSpec spec = task.step.spec;
         boolean unavailable =
                 now < worker.fullUntilMillis
@@ -219,7 +220,7 @@
         if (worker.failureDetector.isOnProbation() && !worker.runs.isEmpty()) {
             return false;
         }
-        boolean advised = !adviceNeeded || !advice.ticket(task.step, worker).isEmpty();
+        boolean advised = !adviceNeeded || !advice.usableTicket(task.step, worker).isEmpty();
         return advised && isBelowWorkerLimit(task.step, worker) && hasEnoughCpu(task, worker);
     }
 
@@ -321,7 +322,7 @@
      * @return the allowed impact, as a number of serving tasks pushed over their target
      */
     private double allowedImpact(TaskRecord task) {
-        long waitedMillis = task.readySinceMillis == 0 ? 0 : core.now() - task.readySinceMillis;
+        long waitedMillis = task.readySinceMillis == 0 ? 0 : context.now() - task.readySinceMillis;
         return INITIAL_ALLOWED_IMPACT
                 + ALLOWED_IMPACT_PER_SECOND * waitedMillis / MILLIS_PER_SECOND;
     }
@@ -361,9 +362,9 @@
         boolean remote =
                 !spec.dataRack().isEmpty() && !worker.entry.labels().contains(spec.dataRack());
         if (remote) {
-            score += REMOTE_DATA_WEIGHT * (core.settings.remoteFactor() - 1);
+            score += REMOTE_DATA_WEIGHT * (context.settings.remoteFactor() - 1);
         }
-        if (core.now() < worker.slowUntilMillis) {
+        if (context.now() < worker.slowUntilMillis) {
             score += SLOW_WORKER_PENALTY;
         }
         if (spec.filling()) {
--- a/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
+++ b/damasktiller-standins/src/main/java/org/damasktiller/standin/fleet/FleetClient.java
@@ -6,52 +6,55 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.damasktiller.scheduler.model.TaskId;
-import org.damasktiller.scheduler.port.HoldOrder;
+import org.damasktiller.scheduler.port.HeartbeatRequest;
 import org.damasktiller.scheduler.port.ProcessRuntime;
-import org.damasktiller.scheduler.port.StartOrder;
+import org.damasktiller.scheduler.port.StartRequest;
 import org.damasktiller.scheduler.port.WorkerAddress;
-import org.damasktiller.scheduler.port.WorkerCalls;
+import org.damasktiller.scheduler.port.WorkerClient;
 import org.damasktiller.scheduler.port.WorkerReply;
 import org.damasktiller.scheduler.port.WorkerStatus;
 import org.damasktiller.standin.metadata.FatePlan;
 
-/** One process's connections to simulated workers, with delay and faults. */
-public final class FleetClient implements WorkerCalls {
+/**
+ * The connections of one process to simulated workers. Calls take time, and a plan decides which of
+ * them fail and how.
+ */
+public final class FleetClient implements WorkerClient {
 
-    /** How long a call takes each way, in milliseconds. */
+    /** The network latency in each direction, in milliseconds. */
     private static final long ONE_WAY_MILLIS = 2;
 
-    /** How long a client waits for an answer, in milliseconds. */
+    /** The time after which a call without an answer fails, in milliseconds. */
     private static final long TIMEOUT_MILLIS = 600;
 
-    /** How late a late order is carried out, in milliseconds. */
+    /** The delay after which a late call is executed, in milliseconds. */
     private static final long LATE_MILLIS = 3_000;
 
-    /** The time between two looks of a hold that waits, in milliseconds. */
+    /** The interval at which a waiting heartbeat checks for ended runs, in milliseconds. */
     private static final long POLL_MILLIS = 10;
 
-    /** The workers by identifier. */
+    /** The workers by identifier, shared with the simulation. */
     private final Map<String, WorkerModel> workers;
 
-    /** The clock and the timers. */
+    /** The clock and timers of the process. */
     private final ProcessRuntime runtime;
 
-    /** Decides what becomes of calls. */
+    /** Decides which calls fail and how. */
     private final FatePlan fates;
 
-    /** The workers that can't be reached by anyone. */
+    /** The identifiers of the workers that no process can reach, shared with the simulation. */
     private final Set<String> cut;
 
-    /** Whether the process is dead. */
+    /** Whether the process was killed: it sends no further calls and receives no replies. */
     private boolean dead;
 
     /**
-     * Creates connections.
+     * Creates the connections of a process.
      *
      * @param workers the workers by identifier
-     * @param cut the workers that can't be reached
-     * @param runtime the clock and the timers
-     * @param fates decides what becomes of calls
+     * @param cut the identifiers of the workers that cannot be reached; may change later
+     * @param runtime the clock and timers of the process
+     * @param fates decides which calls fail and how
      */
     public FleetClient(
             Map<String, WorkerModel> workers,
@@ -65,7 +68,7 @@
     }
 
     /**
-     * Makes an empty set of workers that can't be reached.
+     * Creates an empty, mutable set of identifiers, such as those of unreachable workers.
      *
      * @return the set
      */
@@ -73,13 +76,13 @@
         return new HashSet<>();
     }
 
-    /** Ends the process that has these connections. */
+    /** Kills the process: it sends no further calls and receives no replies. */
     public void kill() {
         dead = true;
     }
 
     @Override
-    public void start(WorkerAddress worker, StartOrder order, Consumer<WorkerReply> answer) {
+    public void start(WorkerAddress worker, StartRequest order, Consumer<WorkerReply> answer) {
         call("start", worker, model -> model.start(order), answer);
     }
 
@@ -94,17 +97,18 @@
     }
 
     @Override
-    public void hold(WorkerAddress worker, HoldOrder order, Consumer<WorkerReply> answer) {
+    public void heartbeat(
+            WorkerAddress worker, HeartbeatRequest order, Consumer<WorkerReply> answer) {
         WorkerModel model = workers.get(worker.id());
         long latest = runtime.nowMillis() + order.waitMillis();
-        long born = model == null ? 0 : model.bornUnixMillis();
+        long born = model == null ? 0 : model.bootUnixMillis();
         if (model == null || order.waitMillis() == 0) {
-            call("hold", worker, target -> target.hold(order), answer);
+            call("hold", worker, target -> target.heartbeat(order), answer);
         } else {
             call(
                     "hold",
                     worker,
-                    target -> target.hold(order),
+                    target -> target.heartbeat(order),
                     first -> {
                         if (first.status() == WorkerStatus.OK && !model.hasEnds()) {
                             await(model, born, latest, worker, order, answer);
@@ -116,44 +120,49 @@
     }
 
     @Override
-    public void pace(
+    public void throttle(
             WorkerAddress worker,
             TaskId task,
             int run,
             int percent,
             long fencingToken,
             Consumer<WorkerReply> answer) {
-        call("pace", worker, model -> model.pace(fencingToken), answer);
+        call("pace", worker, model -> model.throttle(fencingToken), answer);
     }
 
     /**
-     * Waits until a worker has ends or the time is over, and then lists what it runs. A worker that
-     * begins a new life breaks the call off.
+     * Waits until a worker has an unacknowledged ended run or the time is up, and then sends the
+     * heartbeat again. If the worker restarts meanwhile, the connection breaks and the call fails.
      *
      * @param model the worker
-     * @param born when the life that was asked began, in milliseconds since 1970
-     * @param latestMillis until when to wait, in milliseconds
-     * @param worker the worker's name
-     * @param order the order
-     * @param answer takes the reply
+     * @param born the boot time of the worker when the call was made, in milliseconds since 1970
+     * @param latestMillis when to stop waiting, in milliseconds
+     * @param worker the address of the worker
+     * @param order the heartbeat
+     * @param answer receives the reply
      */
     private void await(
             WorkerModel model,
             long born,
             long latestMillis,
             WorkerAddress worker,
-            HoldOrder order,
+            HeartbeatRequest order,
             Consumer<WorkerReply> answer) {
         if (dead) {
             return;
         }
-        if (model.bornUnixMillis() != born) {
+        if (model.bootUnixMillis() != born) {
             answer.accept(
-                    new WorkerReply(WorkerStatus.UNKNOWN, -1, 0, null, "connection broken off"));
+                    new WorkerReply(
+                            WorkerStatus.UNKNOWN,
+                            -1,
+                            0,
+                            null,
+                            "the worker restarted and the connection broke"));
             return;
         }
         if (model.hasEnds() || runtime.nowMillis() >= latestMillis) {
-            call("hold", worker, target -> target.hold(order), answer);
+            call("hold", worker, target -> target.heartbeat(order), answer);
         } else {
             runtime.schedule(
                     POLL_MILLIS, () -> await(model, born, latestMillis, worker, order, answer));
@@ -161,12 +170,12 @@
     }
 
     /**
-     * Makes a call.
+     * Makes a call, with the fault that the plan decides for it.
      *
-     * @param name the kind of the call
-     * @param worker the worker
-     * @param effect carries it out
-     * @param answer takes the reply
+     * @param name the kind of the call, by which the plan decides
+     * @param worker the address of the worker
+     * @param effect executes the call on the worker
+     * @param answer receives the reply
      */
     private void call(
             String name,
@@ -214,19 +223,19 @@
     }
 
     /**
-     * Ends a call without an answer.
+     * Fails a call with status UNKNOWN after the timeout.
      *
-     * @param answer takes the reply
+     * @param answer receives the reply
      */
     private void timeOut(Consumer<WorkerReply> answer) {
         runtime.schedule(TIMEOUT_MILLIS, () -> deliver(failed(WorkerStatus.UNKNOWN), answer));
     }
 
     /**
-     * Delivers a reply.
+     * Delivers a reply after the network latency, unless the process is killed before it arrives.
      *
      * @param reply the reply
-     * @param answer takes it
+     * @param answer receives the reply
      */
     private void deliver(WorkerReply reply, Consumer<WorkerReply> answer) {
         runtime.schedule(
@@ -239,9 +248,9 @@
     }
 
     /**
-     * Makes the reply of a call that failed.
+     * Creates the reply to a call that the worker did not answer.
      *
-     * @param status how it ended
+     * @param status the status of the call
      * @return the reply
      */
     private static WorkerReply failed(WorkerStatus status) {
