--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -123,7 +123,7 @@
 
     /**
      * Returns whether tasks of a job may start. The job must be open and covered by a proof of
-     * ownership, and no former owner may have left a run of it that this owner does not know.
+     * ownership, and no previous owner may have left a run of it that this owner does not know.
      *
      * @param job the job
      * @return whether its tasks may start
@@ -311,7 +311,7 @@
      * Returns the number of the next run of a task.
      *
      * @param highestRunNumber the highest known number of a run of the task
-     * @return the number, higher than those that any former owner has used
+     * @return the number, higher than those that any previous owner has used
      */
     private int nextRunNumber(int highestRunNumber) {
         return Math.max(highestRunNumber, context.term.runNumberBase()) + 1;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -86,8 +86,8 @@
     long candidateClockMillis = NO_CLOCK;
 
     /**
-     * The time on the owner's clock by which every lease that this or a former owner has granted is
-     * expired, in milliseconds.
+     * The time on the owner's clock by which every lease that this or a previous owner has granted
+     * is expired, in milliseconds.
      */
     long leasesExpireAtMillis;
 
@@ -140,7 +140,7 @@
      * Creates a record of a worker that has not been polled.
      *
      * @param entry the registration of the worker
-     * @param leasesExpireAtMillis the time by which every lease of former owners is expired, in
+     * @param leasesExpireAtMillis the time by which every lease of previous owners is expired, in
      *     milliseconds
      */
     WorkerRecord(WorkerEntry entry, long leasesExpireAtMillis) {
@@ -198,18 +198,18 @@
     /**
      * Advances the acknowledged sequence number past the ends whose changes are stored.
      *
-     * <p>The end of a run that a former owner started is kept until that owner can no longer start
-     * the task. The former owner may act on outdated knowledge at a worker that has not seen a
-     * newer fencing token. If the worker had already forgotten the end, it would accept that start
-     * as a second run.
+     * <p>The end of a run that a previous owner started is kept until that owner can no longer
+     * start the task. The previous owner may act on outdated knowledge at a worker that has not
+     * seen a newer fencing token. If the worker had already forgotten the end, it would accept that
+     * start as a second run.
      *
-     * @param settled whether former owners can no longer start anything
-     * @param runBase the highest number of a run that a former owner can have used
+     * @param previousOwnersFenced whether previous owners can no longer start anything
+     * @param runNumberBase the highest number of a run that a previous owner can have used
      */
-    void advanceAcknowledgement(boolean settled, int runBase) {
+    void advanceAcknowledgement(boolean previousOwnersFenced, int runNumberBase) {
         while (!pendingEnds.isEmpty()) {
             PendingEnd first = pendingEnds.peekFirst();
-            if (!first.isStored() || (!settled && first.run() <= runBase)) {
+            if (!first.isStored() || (!previousOwnersFenced && first.run() <= runNumberBase)) {
                 return;
             }
             acknowledgedSequence = first.sequence();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerSelector.java
@@ -108,9 +108,9 @@
     @Nullable WorkerRecord selectWorker(TaskRecord task) {
         WorkerRecord best = null;
         double bestScore = REJECTED_SCORE;
-        boolean adviceNeeded = advice.isRequired(task.step);
+        boolean ticketRequired = advice.isRequired(task.step);
         for (WorkerRecord worker : context.allWorkers()) {
-            if (!isEligible(task, worker, adviceNeeded)
+            if (!isEligible(task, worker, ticketRequired)
                     || !worker.freeResources().covers(task.step.spec.reserved())) {
                 continue;
             }
@@ -155,7 +155,7 @@
         List<WorkerRecord> byFreeCpu = new ArrayList<>(context.allWorkers());
         byFreeCpu.sort(Comparator.comparingLong(worker -> -worker.freeResources().cpuMillicores()));
         Resources need = step.spec.reserved();
-        boolean adviceNeeded = advice.isRequired(step);
+        boolean ticketRequired = advice.isRequired(step);
         for (TaskRecord task : step.tasks) {
             for (WorkerRecord worker : byFreeCpu) {
                 int assignedHere = assignedCounts.getOrDefault(worker, 0);
@@ -165,7 +165,7 @@
                 boolean onRack = rack.isEmpty() || worker.entry.labels().contains(rack);
                 if (belowLimit
                         && onRack
-                        && isEligible(task, worker, adviceNeeded)
+                        && isEligible(task, worker, ticketRequired)
                         && worker.freeResources().covers(multiply(need, assignedHere + 1))) {
                     assignedCounts.merge(worker, 1, Integer::sum);
                     selected.add(worker);
@@ -204,10 +204,10 @@
      *
      * @param task the task
      * @param worker the worker
-     * @param adviceNeeded whether the task needs a ticket for the worker
+     * @param ticketRequired whether the task needs a ticket of the advice service for the worker
      * @return whether the worker is eligible
      */
-    private boolean isEligible(TaskRecord task, WorkerRecord worker, boolean adviceNeeded) {
+    private boolean isEligible(TaskRecord task, WorkerRecord worker, boolean ticketRequired) {
         long now = context.now();
         StepSpec spec = task.step.spec;
         boolean unavailable =
@@ -220,8 +220,11 @@
         if (worker.failureDetector.isOnProbation() && !worker.runs.isEmpty()) {
             return false;
         }
-        boolean advised = !adviceNeeded || !advice.usableTicket(task.step, worker).isEmpty();
-        return advised && isBelowWorkerLimit(task.step, worker) && hasEnoughCpu(task, worker);
+        boolean hasTicketIfRequired =
+                !ticketRequired || !advice.usableTicket(task.step, worker).isEmpty();
+        return hasTicketIfRequired
+                && isBelowWorkerLimit(task.step, worker)
+                && hasEnoughCpu(task, worker);
     }
 
     /**
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
@@ -13,7 +13,7 @@
 /** Tests when an owner acknowledges ends to a worker and when it may start runs there. */
 class WorkerRecordTest {
 
-    private static final int RUN_BASE = 2_000;
+    private static final int RUN_NUMBER_BASE = 2_000;
 
     private final WorkerRecord worker =
             new WorkerRecord(
@@ -45,23 +45,23 @@
     }
 
     /**
-     * A former owner may start a task again until it is settled. The worker must not forget an
+     * A previous owner may start a task again until it is fenced. The worker must not forget an
      * earlier end of that task before then, since it would accept the start as a second run.
      */
     @Test
-    void endOfAFormerOwnersRunIsAcknowledgedOnceThatOwnerIsSettled() {
+    void endOfAPreviousOwnersRunIsAcknowledgedOnceThatOwnerIsFenced() {
         worker.pendingEnds.add(new PendingEnd(7, 1_001, null, 0));
         worker.pendingEnds.add(new PendingEnd(8, 2_001, null, 0));
-        worker.advanceAcknowledgement(false, RUN_BASE);
+        worker.advanceAcknowledgement(false, RUN_NUMBER_BASE);
         assertThat(worker.acknowledgedSequence, is(0L));
-        worker.advanceAcknowledgement(true, RUN_BASE);
+        worker.advanceAcknowledgement(true, RUN_NUMBER_BASE);
         assertThat(worker.acknowledgedSequence, is(8L));
     }
 
     @Test
     void endOfItsOwnRunIsAcknowledgedAtOnce() {
         worker.pendingEnds.add(new PendingEnd(7, 2_001, null, 0));
-        worker.advanceAcknowledgement(false, RUN_BASE);
+        worker.advanceAcknowledgement(false, RUN_NUMBER_BASE);
         assertThat(worker.acknowledgedSequence, is(7L));
     }
 }
