--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -57,10 +57,10 @@
     /** The dependencies that all elections share. */
     private final ClusterContext context;
 
-    /** The calls to workers. */
+    /** Sends requests to workers. */
     private final WorkerClient workerCalls;
 
-    /** The calls to the advice service. */
+    /** Sends requests to the advice service. */
     private final AdviceClient adviceCalls;
 
     /** Reads and writes the platform's record formats. */
@@ -93,8 +93,8 @@
      * @param layout maps services and zones to cells
      * @param settings the settings of the cells
      * @param store the store
-     * @param workerCalls the calls to workers
-     * @param adviceCalls the calls to the advice service
+     * @param workerCalls sends requests to workers
+     * @param adviceCalls sends requests to the advice service
      * @param formats reads and writes the platform's record formats
      * @param runtime the clock and the timers
      * @param log the log
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -218,7 +218,7 @@
     /**
      * Creates the client of the advice service.
      *
-     * @return the client, or {@link AdviceCalls#NONE} if the settings have no address
+     * @return the client, or {@link AdviceClient#NONE} if the settings have no address
      */
     private AdviceClient createAdviceCalls() {
         InetSocketAddress address = settings.adviceAddress();
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -147,10 +147,10 @@
     }
 
     /**
-     * Returns a list with the same fate for more calls than the acceptor makes.
+     * Returns a list with the same fault for more calls than the acceptor makes.
      *
      * @param fate what happens to each call
-     * @return 60 times the fate
+     * @return 60 times the fault
      */
     private static List<CallFault> repeat(CallFault fate) {
         List<CallFault> fates = new ArrayList<>();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -3,7 +3,7 @@
 /**
  * A permission of the advice service to run the tasks of a step on a worker.
  *
- * @param value the ticket as the service returned it, sent along in the start order
+ * @param value the ticket as the service returned it, sent along in the start request
  * @param bornUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
  *     since 1970
  * @param validUntilMillis when the ticket must no longer be used, on the owner's monotonic clock,
@@ -12,7 +12,7 @@
 record AdviceTicket(String value, long bornUnixMillis, long validUntilMillis) {
 
     /**
-     * Returns whether a start order can carry the ticket now.
+     * Returns whether a start request can carry the ticket now.
      *
      * @param worker the worker for which the ticket was issued
      * @param nowMillis the current time, in milliseconds
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -27,7 +27,7 @@
 
     /**
      * How long before its expiry a ticket is no longer used, in milliseconds: the time that a start
-     * order takes to reach the worker.
+     * request takes to reach the worker.
      */
     private static final long EXPIRY_MARGIN_MILLIS = 250;
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -31,7 +31,7 @@
     /** The metadata store. */
     final MetadataStore store;
 
-    /** Sends calls to workers. */
+    /** Sends requests to workers. */
     final WorkerClient workerCalls;
 
     /** The clock and the timers. */
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Ends the term. From then on the owner sends no orders to workers and stores nothing. Later
+     * Ends the term. From then on the owner sends no requests to workers and stores nothing. Later
      * calls have no effect.
      *
      * @param reason why the term ends, for the log
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -13,7 +13,7 @@
  *
  * @param settings the intervals and limits
  * @param store the metadata store
- * @param workerCalls sends calls to workers
+ * @param workerCalls sends requests to workers
  * @param adviceCalls sends requests to the advice service
  * @param formats decodes the records that the platform keeps in the store
  * @param runtime the clock and the timers
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellTerm.java
@@ -4,7 +4,7 @@
  * A term: the period for which one process owns a cell, from an election it has won.
  *
  * @param generation the number of the term, higher than that of each earlier term; it is the
- *     fencing token in the orders to workers
+ *     fencing token in the requests to workers
  * @param owner the value stored under the owner key
  * @param headRevision the revision of the transaction that won the election, which wrote the owner
  *     key and the head key
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -21,7 +21,7 @@
     /** The shared state of the cell's owner. */
     private final CellContext context;
 
-    /** Sends the stop orders. */
+    /** Sends the stop requests. */
     private final RunRequestSender requestSender;
 
     /** Estimates the run times of steps. */
@@ -31,7 +31,7 @@
      * Creates a controller.
      *
      * @param context the shared state of the cell's owner
-     * @param requestSender sends the stop orders
+     * @param requestSender sends the stop requests
      * @param runTimes estimates the run times of steps
      */
     DrainController(
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/FillerThrottle.java
@@ -12,8 +12,8 @@
  * The size of the effect depends on the pair of images, and the effect appears and disappears
  * within seconds. When a tail latency reaches its target, the CPU limits of the fillers that
  * contribute most to it are lowered; they are raised step by step after all serving tasks of the
- * worker have recovered. If the time over target approaches {@link CellSettings#impactMillis()},
- * all fillers of the worker are paused.
+ * worker have recovered. If the time over target approaches {@link
+ * CellSettings#maximumOverTargetMillis()}, all fillers of the worker are paused.
  */
 final class FillerThrottle {
 
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -1,7 +1,7 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * Computes when leases expire: on the worker's clock for the orders to the worker, and on the
+ * Computes when leases expire: on the worker's clock for the requests to the worker, and on the
  * owner's clock to decide when a worker has certainly stopped its runs.
  *
  * <p>A lease ends at most {@link CellSettings#ownershipValidityMillis} after a reading of the
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/TaskScheduler.java
@@ -62,7 +62,7 @@
     /** Holds the tickets for routes that need advice. */
     private final AdviceTicketProvider advice;
 
-    /** Tells up to which store revision this owner is proven to own the cell. */
+    /** Tells up to which store revision this owner is verified to own the cell. */
     private final OwnershipVerifier ownership;
 
     /** The number of starts in the current pass. */
@@ -76,7 +76,7 @@
      * @param requestSender sends the start requests
      * @param runTimes estimates run times
      * @param advice holds the tickets for routes that need advice
-     * @param ownership tells up to which store revision this owner is proven to own the cell
+     * @param ownership tells up to which store revision this owner is verified to own the cell
      */
     TaskScheduler(
             CellContext context,
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns whether tasks of a job may start. The job must be open and covered by a proof of
+     * Returns whether tasks of a job may start. The job must be open and covered by a check of
      * ownership, and no previous owner may have left a run of it that this owner does not know.
      *
      * @param job the job
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -41,7 +41,7 @@
     /** Applies run ends to jobs. */
     private final JobTracker jobTracker;
 
-    /** Sends stop orders. */
+    /** Sends stop requests. */
     private final RunRequestSender requestSender;
 
     /** Called after each answered or failed poll. */
@@ -52,7 +52,7 @@
      *
      * @param context the shared state of the cell's owner
      * @param jobTracker applies run ends to jobs
-     * @param requestSender sends stop orders
+     * @param requestSender sends stop requests
      * @param listener called after each answered or failed poll
      */
     WorkerPoller(
@@ -144,7 +144,7 @@
 
     /**
      * Resets a worker's record after a restart. The runs of the earlier boot are over, but an
-     * unanswered start order may still reach the new boot and therefore has to be stopped there.
+     * unanswered start request may still reach the new boot and therefore has to be stopped there.
      *
      * @param worker the worker
      * @param bornUnixMillis when the new boot began, in milliseconds since 1970
@@ -184,7 +184,7 @@
      *
      * @param worker the worker
      * @param pollNumber the number of the poll; a run counts as missing only if the poll was sent
-     *     after the last order for the run was answered or failed
+     *     after the last request for the run was answered or failed
      * @param inventory the active and ended runs of the worker
      */
     private void mergeInventory(WorkerRecord worker, long pollNumber, Inventory inventory) {
@@ -299,7 +299,7 @@
             case STOPPING -> {
                 if (record.stopAcknowledged) {
                     jobTracker.applyLoss(
-                            record, "the run was stopped before its start order arrived");
+                            record, "the run was stopped before its start request arrived");
                 } else {
                     requestSender.sendStop(record);
                 }
@@ -313,7 +313,7 @@
 
     /**
      * Marks the runs of a worker as lost if all of its leases have certainly expired. Runs whose
-     * start order may still arrive are kept.
+     * start request may still arrive are kept.
      *
      * @param worker the worker
      */
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -74,14 +74,14 @@
     long clockReadAtMillis;
 
     /**
-     * The last clock reading from before the start of a successful proof of ownership, in
+     * The last clock reading from before the start of a successful ownership check, in
      * milliseconds, or {@link #NO_CLOCK}.
      */
     long provenClockMillis = NO_CLOCK;
 
     /**
-     * The clock reading at the start of the proof of ownership in progress, in milliseconds, or
-     * {@link #NO_CLOCK}.
+     * The clock reading at the start of the ownership check in progress, in milliseconds, or {@link
+     * #NO_CLOCK}.
      */
     long candidateClockMillis = NO_CLOCK;
 
@@ -222,7 +222,7 @@
      *
      * @param nowMillis the current time, in milliseconds
      * @return whether the worker is registered, has answered recently in its current boot, is in
-     *     the stored roster, has a proven clock reading, and is neither draining nor avoided
+     *     the stored roster, has a verified clock reading, and is neither draining nor avoided
      */
     boolean isUsable(long nowMillis) {
         boolean registered = listed || nowMillis - unlistedSinceMillis < UNLISTED_GRACE_MILLIS;
