--- a/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/cluster/ClusterMember.java
@@ -58,10 +58,10 @@
     private final ClusterContext context;
 
     /** Sends requests to workers. */
-    private final WorkerClient workerCalls;
+    private final WorkerClient workerClient;
 
     /** Sends requests to the advice service. */
-    private final AdviceClient adviceCalls;
+    private final AdviceClient adviceClient;
 
     /** Reads and writes the platform's record formats. */
     private final PlatformRecordDecoder formats;
@@ -93,8 +93,8 @@
      * @param layout maps services and zones to cells
      * @param settings the settings of the cells
      * @param store the store
-     * @param workerCalls sends requests to workers
-     * @param adviceCalls sends requests to the advice service
+     * @param workerClient sends requests to workers
+     * @param adviceClient sends requests to the advice service
      * @param formats reads and writes the platform's record formats
      * @param runtime the clock and the timers
      * @param log the log
@@ -104,16 +104,16 @@
             CellLayout layout,
             CellSettings settings,
             MetadataStore store,
-            WorkerClient workerCalls,
-            AdviceClient adviceCalls,
+            WorkerClient workerClient,
+            AdviceClient adviceClient,
             PlatformRecordDecoder formats,
             ProcessRuntime runtime,
             DecisionLog log) {
         this.identity = identity;
         this.layout = layout;
         this.settings = settings;
-        this.workerCalls = workerCalls;
-        this.adviceCalls = adviceCalls;
+        this.workerClient = workerClient;
+        this.adviceClient = adviceClient;
         this.formats = formats;
         StoreSession session = new StoreSession(store, runtime, log, settings.storeLeaseMillis());
         ClusterView view = new ClusterView(store, runtime, log, this::attemptElections);
@@ -289,8 +289,8 @@
                 new CellEnvironment(
                         settings,
                         context.store(),
-                        workerCalls,
-                        adviceCalls,
+                        workerClient,
+                        adviceClient,
                         formats,
                         context.runtime(),
                         context.log(),
--- a/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
+++ b/damasktiller-node/src/main/java/org/damasktiller/node/process/NodeProcess.java
@@ -141,10 +141,10 @@
         CellLayout cellLayout = new CellLayout(settings.zones());
         CellSettings cellSettings =
                 CellSettings.builder()
-                        .maximumOverTargetMillis(settings.bounds().longestFillerImpactMillis())
+                        .maximumOverTargetMillis(settings.bounds().maximumOverTargetMillis())
                         .remoteFactor(settings.bounds().remoteFactor())
-                        .maximumWorkerLeaseMillis(settings.bounds().longestWorkerLeaseMillis())
-                        .minimumStoreLeaseMillis(settings.bounds().shortestStoreLeaseMillis())
+                        .maximumWorkerLeaseMillis(settings.bounds().maximumWorkerLeaseMillis())
+                        .minimumStoreLeaseMillis(settings.bounds().minimumStoreLeaseMillis())
                         .build();
         clusterMember =
                 new ClusterMember(
@@ -156,7 +156,7 @@
                         new HttpWorkerClient(
                                 new JsonHttpClient(eventloop, WORKER_TIMEOUT_MILLIS),
                                 new JsonHttpClient(eventloop, WORKER_POLL_TIMEOUT_MILLIS)),
-                        createAdviceCalls(),
+                        createAdviceClient(),
                         records,
                         runtime,
                         log);
@@ -220,7 +220,7 @@
      *
      * @return the client, or {@link AdviceClient#NONE} if the settings have no address
      */
-    private AdviceClient createAdviceCalls() {
+    private AdviceClient createAdviceClient() {
         InetSocketAddress address = settings.adviceAddress();
         return address == null
                 ? AdviceClient.NONE
--- a/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
+++ b/damasktiller-node/src/test/java/org/damasktiller/node/caller/SubmissionAcceptorTest.java
@@ -69,9 +69,9 @@
 
     @Test
     void refusalsAfterWriteWithoutResponseLeaveOutcomeUnknown() {
-        List<CallFault> fates = new ArrayList<>(repeat(CallFault.REFUSED));
-        fates.set(0, CallFault.LATE);
-        submit(fates);
+        List<CallFault> faults = new ArrayList<>(repeat(CallFault.REFUSED));
+        faults.set(0, CallFault.LATE);
+        submit(faults);
         assertThat(status(), equalTo(504));
         runtime.advance(20_000);
         assertThat(store.value(CellKeys.submission(ID)), notNullValue());
@@ -87,17 +87,17 @@
     /**
      * Submits the submission and advances the clock by 4 s, 1 s beyond the caller's deadline.
      *
-     * @param fates what happens to the first calls to the store; later calls succeed
+     * @param faults the faults of the first calls to the store; later calls succeed
      */
-    private void submit(List<CallFault> fates) {
-        Iterator<CallFault> remainingFates = fates.iterator();
+    private void submit(List<CallFault> faults) {
+        Iterator<CallFault> remainingFaults = faults.iterator();
         FaultInjectingStoreClient client =
                 new FaultInjectingStoreClient(
                         store,
                         runtime,
                         call ->
-                                remainingFates.hasNext()
-                                        ? remainingFates.next()
+                                remainingFaults.hasNext()
+                                        ? remainingFaults.next()
                                         : CallFault.ANSWERED);
         SubmissionAcceptor acceptor =
                 new SubmissionAcceptor(
@@ -149,14 +149,14 @@
     /**
      * Returns a list with the same fault for more calls than the acceptor makes.
      *
-     * @param fate what happens to each call
+     * @param fault the fault of each call
      * @return 60 times the fault
      */
-    private static List<CallFault> repeat(CallFault fate) {
-        List<CallFault> fates = new ArrayList<>();
+    private static List<CallFault> repeat(CallFault fault) {
+        List<CallFault> faults = new ArrayList<>();
         for (int call = 0; call < 60; call++) {
-            fates.add(fate);
+            faults.add(fault);
         }
-        return fates;
+        return faults;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicketProvider.java
@@ -35,7 +35,7 @@
     private final CellContext context;
 
     /** Sends the requests to the advice service. */
-    private final AdviceClient calls;
+    private final AdviceClient client;
 
     /** Called when the service has answered a request. */
     private final Runnable onAnswered;
@@ -50,12 +50,12 @@
      * Creates a provider that has requested nothing yet.
      *
      * @param context the shared state of the cell's owner
-     * @param calls sends the requests to the advice service
+     * @param client sends the requests to the advice service
      * @param onAnswered called when the service has answered a request
      */
-    AdviceTicketProvider(CellContext context, AdviceClient calls, Runnable onAnswered) {
+    AdviceTicketProvider(CellContext context, AdviceClient client, Runnable onAnswered) {
         this.context = context;
-        this.calls = calls;
+        this.client = client;
         this.onAnswered = onAnswered;
     }
 
@@ -112,7 +112,7 @@
                 candidates.subList(0, Math.min(MAX_WORKERS_PER_REQUEST, candidates.size()));
         requestInFlight = true;
         String name = step.occurrence.job.id() + '.' + step.occurrence.number + '.' + step.number;
-        calls.requestTickets(
+        client.requestTickets(
                 name,
                 requested.stream().map(worker -> worker.id).toList(),
                 reply -> onReply(step, name, List.copyOf(requested), reply));
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -32,7 +32,7 @@
     final MetadataStore store;
 
     /** Sends requests to workers. */
-    final WorkerClient workerCalls;
+    final WorkerClient workerClient;
 
     /** The clock and the timers. */
     final ProcessRuntime runtime;
@@ -95,7 +95,7 @@
         this.term = term;
         this.settings = environment.settings();
         this.store = environment.store();
-        this.workerCalls = environment.workerCalls();
+        this.workerClient = environment.workerClient();
         this.runtime = environment.runtime();
         this.log = environment.log();
         this.manifest = environment.manifest();
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellEnvironment.java
@@ -13,8 +13,8 @@
  *
  * @param settings the intervals and limits
  * @param store the metadata store
- * @param workerCalls sends requests to workers
- * @param adviceCalls sends requests to the advice service
+ * @param workerClient sends requests to workers
+ * @param adviceClient sends requests to the advice service
  * @param formats decodes the records that the platform keeps in the store
  * @param runtime the clock and the timers
  * @param log the log of scheduling decisions
@@ -23,8 +23,8 @@
 public record CellEnvironment(
         CellSettings settings,
         MetadataStore store,
-        WorkerClient workerCalls,
-        AdviceClient adviceCalls,
+        WorkerClient workerClient,
+        AdviceClient adviceClient,
         PlatformRecordDecoder formats,
         ProcessRuntime runtime,
         DecisionLog log,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellOwner.java
@@ -101,7 +101,7 @@
         poller = new WorkerPoller(context, jobTracker, requestSender, new PollListener());
         fillerThrottle = new FillerThrottle(context, requestSender, new InterferenceModel());
         AdviceTicketProvider advice =
-                new AdviceTicketProvider(context, environment.adviceCalls(), this::schedulePass);
+                new AdviceTicketProvider(context, environment.adviceClient(), this::schedulePass);
         WorkerSelector workerSelector = new WorkerSelector(context, fillerThrottle, advice);
         stragglerMitigator =
                 new StragglerMitigator(context, workerSelector, requestSender, runTimes);
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/LeaseCalculator.java
@@ -16,7 +16,7 @@
      * The lowest rate of a worker's clock relative to the owner's, given by the platform's
      * documentation.
      */
-    private static final double MINIMUM_CLOCK_RATE = 0.98;
+    private static final double MIN_CLOCK_RATE = 0.98;
 
     /** Added to each waiting time against rounding, in milliseconds. */
     private static final long ROUNDING_MARGIN_MILLIS = 50;
@@ -42,7 +42,7 @@
      */
     long leaseEnd(WorkerRecord worker, long nowMillis) {
         long wanted = lowestWorkerClock(worker, nowMillis) + settings.workerLeaseMillis();
-        return Math.min(wanted, worker.provenClockMillis + settings.ownershipValidityMillis());
+        return Math.min(wanted, worker.verifiedClockMillis + settings.ownershipValidityMillis());
     }
 
     /**
@@ -79,7 +79,7 @@
      */
     private static long lowestWorkerClock(WorkerRecord worker, long nowMillis) {
         long elapsed = Math.max(0, nowMillis - worker.clockReadAtMillis);
-        return worker.clockMillis + (long) (elapsed * MINIMUM_CLOCK_RATE);
+        return worker.clockMillis + (long) (elapsed * MIN_CLOCK_RATE);
     }
 
     /**
@@ -90,6 +90,6 @@
      * @return the longest duration on the owner's clock, in milliseconds
      */
     private static long toOwnerMillis(long workerMillis) {
-        return (long) Math.ceil(workerMillis / MINIMUM_CLOCK_RATE) + ROUNDING_MARGIN_MILLIS;
+        return (long) Math.ceil(workerMillis / MIN_CLOCK_RATE) + ROUNDING_MARGIN_MILLIS;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipVerifier.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/OwnershipVerifier.java
@@ -126,8 +126,8 @@
         verifiedRevision =
                 Math.max(verifiedRevision, Math.max(reading.storeRevision(), item.revision()));
         for (WorkerRecord worker : context.allWorkers()) {
-            worker.provenClockMillis =
-                    Math.max(worker.provenClockMillis, worker.candidateClockMillis);
+            worker.verifiedClockMillis =
+                    Math.max(worker.verifiedClockMillis, worker.candidateClockMillis);
         }
         onVerified.run();
     }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -112,7 +112,7 @@
                 worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        context.workerCalls.start(worker.address(), request, reply -> onStartReply(record, reply));
+        context.workerClient.start(worker.address(), request, reply -> onStartReply(record, reply));
     }
 
     /**
@@ -218,7 +218,7 @@
             return;
         }
         record.stopRequestInFlight = true;
-        context.workerCalls.stop(
+        context.workerClient.stop(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
@@ -269,7 +269,7 @@
         record.cpuLimitSentAtMillis = context.now();
         int wantedPercent = record.wantedCpuLimitPercent;
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
-        context.workerCalls.throttle(
+        context.workerClient.throttle(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -82,21 +82,21 @@
         long pollNumber = worker.lastPollNumber;
         long now = context.now();
         boolean awaitingOwnershipCheck =
-                !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
+                !worker.fenced || worker.verifiedClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerClient.LEASE_UNCHANGED;
         if (!awaitingOwnershipCheck && worker.missedPolls == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
             context.leases.recordGrant(worker, leaseEnd, now);
         }
         boolean sameBoot = worker.missedPolls == 0;
-        HeartbeatRequest order =
+        HeartbeatRequest request =
                 new HeartbeatRequest(
                         leaseEnd,
                         context.term.generation(),
                         sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
                         sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
-        context.workerCalls.heartbeat(
-                worker.address(), order, reply -> onReply(worker, pollNumber, reply));
+        context.workerClient.heartbeat(
+                worker.address(), request, reply -> onReply(worker, pollNumber, reply));
     }
 
     /**
@@ -161,7 +161,7 @@
         worker.fenced = false;
         worker.bootUnixMillis = bornUnixMillis;
         worker.clockMillis = WorkerRecord.NO_CLOCK;
-        worker.provenClockMillis = WorkerRecord.NO_CLOCK;
+        worker.verifiedClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
         worker.appliedSequence = 0;
         worker.acknowledgedSequence = 0;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerRecord.java
@@ -77,7 +77,7 @@
      * The last clock reading from before the start of a successful ownership check, in
      * milliseconds, or {@link #NO_CLOCK}.
      */
-    long provenClockMillis = NO_CLOCK;
+    long verifiedClockMillis = NO_CLOCK;
 
     /**
      * The clock reading at the start of the ownership check in progress, in milliseconds, or {@link
@@ -231,7 +231,7 @@
                 && nowMillis - answeredAtMillis <= MAX_ANSWER_AGE_MILLIS
                 && inStoredRoster
                 && !entry.draining()
-                && provenClockMillis != NO_CLOCK
+                && verifiedClockMillis != NO_CLOCK
                 && nowMillis >= avoidUntilMillis;
     }
 }
--- a/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
+++ b/damasktiller-scheduler/src/test/java/org/damasktiller/scheduler/cell/WorkerRecordTest.java
@@ -38,7 +38,7 @@
     void workerThatHasNotAnsweredForASecondGetsNoNewWork() {
         worker.fenced = true;
         worker.inStoredRoster = true;
-        worker.provenClockMillis = 1;
+        worker.verifiedClockMillis = 1;
         worker.answeredAtMillis = 5_000;
         assertThat(worker.isUsable(6_000), is(true));
         assertThat(worker.isUsable(6_001), is(false));
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/CellSimulation.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/CellSimulation.java
@@ -49,7 +49,7 @@
     static final String CELL = "dispatch";
 
     /** The number of failed runs of a task after which its submission fails. */
-    static final int MAXIMUM_ATTEMPTS = 3;
+    static final int MAX_ATTEMPTS = 3;
 
     /** The processors of a worker, in millicores; also its memory, in megabytes. */
     private static final long WORKER_CAPACITY = 8_000;
@@ -67,7 +67,7 @@
     final Set<String> unreachable = FaultInjectingWorkerClient.newIdSet();
 
     /** Checks the safety properties on the events of the workers. */
-    final RunInvariantChecker invariants = new RunInvariantChecker(MAXIMUM_ATTEMPTS);
+    final RunInvariantChecker invariants = new RunInvariantChecker(MAX_ATTEMPTS);
 
     /** The lines that owners have logged. */
     final List<String> logLines = new ArrayList<>();
@@ -351,7 +351,7 @@
      */
     private Manifest manifest() {
         Route route =
-                new Route("route", "host", "/", CELL, 0, MAXIMUM_ATTEMPTS, 2, 1_000, adviceNeeded);
+                new Route("route", "host", "/", CELL, 0, MAX_ATTEMPTS, 2, 1_000, adviceNeeded);
         return new Manifest(1, List.of(route), Set.of(CELL), new IngressLimits(1 << 18, 15_000));
     }
 
--- a/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
+++ b/damasktiller-verification/src/test/java/org/damasktiller/verification/owner/OwnerTest.java
@@ -63,7 +63,7 @@
             assertThat(simulation.submissionState(id), equalTo(SubmissionState.FAILED));
             assertThat(
                     simulation.invariants.startCount(new TaskId(id, 0, 0, 0)),
-                    equalTo(CellSimulation.MAXIMUM_ATTEMPTS));
+                    equalTo(CellSimulation.MAX_ATTEMPTS));
         }
         assertThat(simulation.invariants.violations(), empty());
     }
