--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -1,7 +1,7 @@
 package org.damasktiller.scheduler.cell;
 
 /**
- * A permission of the advice service to run the tasks of a step on a worker.
+ * A ticket of the advice service: the permission to run the tasks of a step on one worker.
  *
  * @param value the ticket as the service returned it, sent along in the start request
  * @param bornUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/DrainController.java
@@ -5,7 +5,7 @@
 
 /**
  * Moves work off draining workers. Load pattern: a worker drains for several seconds, then ends all
- * runs that are left. Lasting tasks are stopped at once so that they restart elsewhere.
+ * runs that are left. Long-running tasks are stopped at once so that they restart elsewhere.
  * Checkpointing tasks that will not finish in time are stopped shortly before the worker leaves, so
  * that they resume elsewhere from their checkpoint. All other runs may use the remaining time to
  * finish.
@@ -74,8 +74,8 @@
      * @param spec the step of the run
      * @param untilLeaveMillis the shortest time until the worker leaves, in milliseconds
      * @param now the current time, in milliseconds
-     * @return true if the run belongs to a lasting task, or can resume from a checkpoint and is not
-     *     expected to finish before the worker leaves
+     * @return true if the run belongs to a long-running task, or can resume from a checkpoint and
+     *     is not expected to finish before the worker leaves
      */
     private boolean mustMove(RunRecord run, StepSpec spec, long untilLeaveMillis, long now) {
         if (spec.lasting()) {
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/ProgressRecord.java
@@ -8,7 +8,7 @@
 /**
  * The stored progress of an open submission, from which a successor restores its job.
  *
- * @param tasks the tasks that are done, have an ended run, or are lasting tasks that have run
+ * @param tasks the tasks that are done, have an ended run, or are long-running tasks that have run
  */
 public record ProgressRecord(List<Entry> tasks) {
 
@@ -68,10 +68,10 @@
      * @param step the number of the step in the submission, from 0
      * @param index the number of the task in the step, from 0
      * @param done whether the task is done
-     * @param failedRuns the numbers of the runs that failed; always empty for lasting tasks, which
-     *     have no limit of attempts
+     * @param failedRuns the numbers of the runs that failed; always empty for long-running tasks,
+     *     which have no limit of attempts
      * @param run the highest number of a run whose end is recorded, 0 if there is none
-     * @param ran whether a run of a lasting task was ever confirmed; false for other tasks
+     * @param ran whether a run of a long-running task was ever confirmed; false for other tasks
      * @param checkpoint the last checkpoint, empty if there is none or the task is done
      */
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -119,7 +119,7 @@
      * Handles the answer to a start request.
      *
      * @param record the run
-     * @param reply the answer
+     * @param reply the reply; its status is {@link WorkerStatus#UNKNOWN} if no answer arrived
      */
     private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
@@ -230,7 +230,7 @@
      * Handles the answer to a stop request.
      *
      * @param record the run
-     * @param reply the answer
+     * @param reply the reply; its status is {@link WorkerStatus#UNKNOWN} if no answer arrived
      */
     private void onStopReply(RunRecord record, WorkerReply reply) {
         record.stopRequestInFlight = false;
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimeEstimator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunTimeEstimator.java
@@ -5,7 +5,7 @@
 import org.damasktiller.scheduler.model.StepSpec;
 
 /**
- * Learns how real run times relate to declared ones.
+ * Estimates the run times of tasks from the declared ones, by a factor learned for each image.
  *
  * <p>Load pattern: the run times that callers declare are wrong by a large factor, which tasks of
  * one image share.
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/StragglerMitigator.java
@@ -43,8 +43,8 @@
     private static final double SLOW_RATE = 0.5;
 
     /**
-     * How long a worker counts as slow, in milliseconds: the time until its runs are measured
-     * again.
+     * How long a slow worker is chosen after other workers, in milliseconds: the time until its
+     * runs are measured again.
      */
     private static final long SLOW_WORKER_MILLIS = 2_500;
 
