--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/AdviceTicket.java
@@ -4,12 +4,12 @@
  * A ticket of the advice service: the permission to run the tasks of a step on one worker.
  *
  * @param value the ticket as the service returned it, sent along in the start request
- * @param bornUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
+ * @param bootUnixMillis when the worker's boot began for which the ticket is valid, in milliseconds
  *     since 1970
  * @param validUntilMillis when the ticket must no longer be used, on the owner's monotonic clock,
  *     in milliseconds
  */
-record AdviceTicket(String value, long bornUnixMillis, long validUntilMillis) {
+record AdviceTicket(String value, long bootUnixMillis, long validUntilMillis) {
 
     /**
      * Returns whether a start request can carry the ticket now.
@@ -19,6 +19,6 @@
      * @return true if the worker has not restarted and the ticket has not expired
      */
     boolean isUsable(WorkerRecord worker, long nowMillis) {
-        return worker.bootUnixMillis == bornUnixMillis && nowMillis < validUntilMillis;
+        return worker.bootUnixMillis == bootUnixMillis && nowMillis < validUntilMillis;
     }
 }
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -147,19 +147,19 @@
      * unanswered start request may still reach the new boot and therefore has to be stopped there.
      *
      * @param worker the worker
-     * @param bornUnixMillis when the new boot began, in milliseconds since 1970
+     * @param bootUnixMillis when the new boot began, in milliseconds since 1970
      */
-    void resetAfterRestart(WorkerRecord worker, long bornUnixMillis) {
+    void resetAfterRestart(WorkerRecord worker, long bootUnixMillis) {
         context.log.log(
                 "worker.restarted",
                 "worker",
                 worker.id,
                 "born",
-                bornUnixMillis,
+                bootUnixMillis,
                 "before",
                 worker.bootUnixMillis);
         worker.fenced = false;
-        worker.bootUnixMillis = bornUnixMillis;
+        worker.bootUnixMillis = bootUnixMillis;
         worker.clockMillis = WorkerRecord.NO_CLOCK;
         worker.verifiedClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
