--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/CellContext.java
@@ -31,8 +31,8 @@
     /** The metadata store. */
     final MetadataStore store;
 
-    /** Sends calls to workers. */
-    final WorkerClient workerCalls;
+    /** Sends requests to workers. */
+    final WorkerClient workerClient;
 
     /** The clock and the timers. */
     final ProcessRuntime runtime;
@@ -95,7 +95,7 @@
         this.term = term;
         this.settings = environment.settings();
         this.store = environment.store();
-        this.workerCalls = environment.workerCalls();
+        this.workerClient = environment.workerClient();
         this.runtime = environment.runtime();
         this.log = environment.log();
         this.manifest = environment.manifest();
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Ends the term. From then on the owner sends no orders to workers and stores nothing. Later
+     * Ends the term. From then on the owner sends no requests to workers and stores nothing. Later
      * calls have no effect.
      *
      * @param reason why the term ends, for the log
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/RunRequestSender.java
@@ -112,14 +112,14 @@
                 worker.freeResources(),
                 "waited",
                 task.readySinceMillis == 0 ? 0L : now - task.readySinceMillis);
-        context.workerCalls.start(worker.address(), request, reply -> onStartReply(record, reply));
+        context.workerClient.start(worker.address(), request, reply -> onStartReply(record, reply));
     }
 
     /**
      * Handles the answer to a start request.
      *
      * @param record the run
-     * @param reply the answer
+     * @param reply the reply; its status is {@link WorkerStatus#UNKNOWN} if no answer arrived
      */
     private void onStartReply(RunRecord record, WorkerReply reply) {
         WorkerRecord worker = record.worker;
@@ -218,7 +218,7 @@
             return;
         }
         record.stopRequestInFlight = true;
-        context.workerCalls.stop(
+        context.workerClient.stop(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
@@ -230,7 +230,7 @@
      * Handles the answer to a stop request.
      *
      * @param record the run
-     * @param reply the answer
+     * @param reply the reply; its status is {@link WorkerStatus#UNKNOWN} if no answer arrived
      */
     private void onStopReply(RunRecord record, WorkerReply reply) {
         record.stopRequestInFlight = false;
@@ -269,7 +269,7 @@
         record.cpuLimitSentAtMillis = context.now();
         int wantedPercent = record.wantedCpuLimitPercent;
         record.everThrottled |= wantedPercent < RunRecord.FULL_PERCENT;
-        context.workerCalls.throttle(
+        context.workerClient.throttle(
                 record.worker.address(),
                 record.taskId,
                 record.runNumber,
--- a/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
+++ b/damasktiller-scheduler/src/main/java/org/damasktiller/scheduler/cell/WorkerPoller.java
@@ -41,7 +41,7 @@
     /** Applies run ends to jobs. */
     private final JobTracker jobTracker;
 
-    /** Sends stop orders. */
+    /** Sends stop requests. */
     private final RunRequestSender requestSender;
 
     /** Called after each answered or failed poll. */
@@ -52,7 +52,7 @@
      *
      * @param context the shared state of the cell's owner
      * @param jobTracker applies run ends to jobs
-     * @param requestSender sends stop orders
+     * @param requestSender sends stop requests
      * @param listener called after each answered or failed poll
      */
     WorkerPoller(
@@ -82,21 +82,21 @@
         long pollNumber = worker.lastPollNumber;
         long now = context.now();
         boolean awaitingOwnershipCheck =
-                !worker.fenced || worker.provenClockMillis == WorkerRecord.NO_CLOCK;
+                !worker.fenced || worker.verifiedClockMillis == WorkerRecord.NO_CLOCK;
         long leaseEnd = WorkerClient.LEASE_UNCHANGED;
         if (!awaitingOwnershipCheck && worker.missedPolls == 0) {
             leaseEnd = context.leases.leaseEnd(worker, now);
             context.leases.recordGrant(worker, leaseEnd, now);
         }
         boolean sameBoot = worker.missedPolls == 0;
-        HeartbeatRequest order =
+        HeartbeatRequest request =
                 new HeartbeatRequest(
                         leaseEnd,
                         context.term.generation(),
                         sameBoot ? worker.acknowledgedSequence : NO_ACKNOWLEDGEMENT,
                         sameBoot && worker.fenced ? context.settings.pollWaitMillis() : 0);
-        context.workerCalls.heartbeat(
-                worker.address(), order, reply -> onReply(worker, pollNumber, reply));
+        context.workerClient.heartbeat(
+                worker.address(), request, reply -> onReply(worker, pollNumber, reply));
     }
 
     /**
@@ -144,24 +144,24 @@
 
     /**
      * Resets a worker's record after a restart. The runs of the earlier boot are over, but an
-     * unanswered start order may still reach the new boot and therefore has to be stopped there.
+     * unanswered start request may still reach the new boot and therefore has to be stopped there.
      *
      * @param worker the worker
-     * @param bornUnixMillis when the new boot began, in milliseconds since 1970
+     * @param bootUnixMillis when the new boot began, in milliseconds since 1970
      */
-    void resetAfterRestart(WorkerRecord worker, long bornUnixMillis) {
+    void resetAfterRestart(WorkerRecord worker, long bootUnixMillis) {
         context.log.log(
                 "worker.restarted",
                 "worker",
                 worker.id,
                 "born",
-                bornUnixMillis,
+                bootUnixMillis,
                 "before",
                 worker.bootUnixMillis);
         worker.fenced = false;
-        worker.bootUnixMillis = bornUnixMillis;
+        worker.bootUnixMillis = bootUnixMillis;
         worker.clockMillis = WorkerRecord.NO_CLOCK;
-        worker.provenClockMillis = WorkerRecord.NO_CLOCK;
+        worker.verifiedClockMillis = WorkerRecord.NO_CLOCK;
         worker.candidateClockMillis = WorkerRecord.NO_CLOCK;
         worker.appliedSequence = 0;
         worker.acknowledgedSequence = 0;
@@ -184,7 +184,7 @@
      *
      * @param worker the worker
      * @param pollNumber the number of the poll; a run counts as missing only if the poll was sent
-     *     after the last order for the run was answered or failed
+     *     after the last request for the run was answered or failed
      * @param inventory the active and ended runs of the worker
      */
     private void mergeInventory(WorkerRecord worker, long pollNumber, Inventory inventory) {
@@ -299,7 +299,7 @@
             case STOPPING -> {
                 if (record.stopAcknowledged) {
                     jobTracker.applyLoss(
-                            record, "the run was stopped before its start order arrived");
+                            record, "the run was stopped before its start request arrived");
                 } else {
                     requestSender.sendStop(record);
                 }
@@ -313,7 +313,7 @@
 
     /**
      * Marks the runs of a worker as lost if all of its leases have certainly expired. Runs whose
-     * start order may still arrive are kept.
+     * start request may still arrive are kept.
      *
      * @param worker the worker
      */
