--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/local/LocalRun.java
@@ -79,13 +79,13 @@
             new RunInvariantChecker(TableManifestFactory.MAXIMUM_ATTEMPTS);
 
     /** The submissions that callers have sent; determines the behaviour of their tasks. */
-    private final SubmittedTaskBehaviour work;
+    private final SubmittedTaskBehaviour taskBehaviour;
 
     /** The emulated services and the processes of the entry VMs. */
     private final LocalDeployment localDeployment;
 
     /** Sends the submissions and tracks their states. */
-    private final CallerSimulator load;
+    private final CallerSimulator callers;
 
     /**
      * Creates a run with its emulated services. The processes of the entry VMs are not started yet.
@@ -107,7 +107,7 @@
         this.loadMillis = seconds * MILLIS_PER_SECOND;
         this.output = output;
         RandomGenerator random = new Well19937c(1);
-        work = new SubmittedTaskBehaviour(random, 0);
+        taskBehaviour = new SubmittedTaskBehaviour(random, 0);
         loop = new LabEventLoop("local", output::println);
         LocalDeploymentSettings settings =
                 LocalDeploymentSettings.builder(createTemporaryDirectory())
@@ -121,8 +121,12 @@
                         created ->
                                 created.complete(
                                         new LocalDeployment(
-                                                loop, settings, work, invariantChecker, random)));
-        load =
+                                                loop,
+                                                settings,
+                                                taskBehaviour,
+                                                invariantChecker,
+                                                random)));
+        callers =
                 new CallerSimulator(
                         loop.runtime(),
                         new CallerClient(loop.eventloop(), CALL_TIMEOUT_MILLIS),
@@ -130,7 +134,7 @@
                                 .map(EntryVmProcess::callerAddress)
                                 .toList(),
                         random,
-                        work);
+                        taskBehaviour);
     }
 
     /**
@@ -172,7 +176,7 @@
                 loop.runtime()
                         .schedule(
                                 loadMillis * index / SUBMISSIONS_PER_ROW,
-                                () -> load.send(route, submission));
+                                () -> callers.send(route, submission));
             }
         }
         loop.runtime().schedule(loadMillis / 2, this::publishManifestAndDrain);
@@ -196,10 +200,13 @@
      * @param beganMillis when the load began on the monotonic clock, in milliseconds
      */
     private void awaitFinish(CompletableFuture<Boolean> finished, long beganMillis) {
-        long openCount = load.submissions().stream().filter(item -> !item.isSettled()).count();
-        output.println("sent " + load.submissions().size() + ", open " + openCount);
+        long openCount =
+                callers.submissions().stream()
+                        .filter(trackedSubmission -> !trackedSubmission.isSettled())
+                        .count();
+        output.println("sent " + callers.submissions().size() + ", open " + openCount);
         long elapsedMillis = loop.runtime().nowMillis() - beganMillis;
-        boolean allSent = load.submissions().size() == table.rows().size() * SUBMISSIONS_PER_ROW;
+        boolean allSent = callers.submissions().size() == table.rows().size() * SUBMISSIONS_PER_ROW;
         if ((allSent && openCount == 0) || elapsedMillis > loadMillis + FINISH_TIMEOUT_MILLIS) {
             finished.complete(allSent && openCount == 0);
             return;
@@ -218,24 +225,29 @@
         for (KindOfWork row : table.rows()) {
             String kind = row.name().value();
             List<TrackedSubmission> items =
-                    load.submissions().stream()
-                            .filter(item -> item.route().name().equals(kind))
+                    callers.submissions().stream()
+                            .filter(
+                                    trackedSubmission ->
+                                            trackedSubmission.route().name().equals(kind))
                             .toList();
             output.printf(
                     "%-20s %8d %9d %8d%n",
                     kind,
                     items.stream().filter(TrackedSubmission::isAccepted).count(),
                     items.stream()
-                            .filter(item -> item.state() == SubmissionState.SUCCEEDED)
+                            .filter(
+                                    trackedSubmission ->
+                                            trackedSubmission.state() == SubmissionState.SUCCEEDED)
                             .count(),
                     items.stream().filter(TrackedSubmission::isRefused).count());
         }
-        GuaranteeChecker promiseCheck = new GuaranteeChecker(load, invariantChecker, work);
+        GuaranteeChecker guaranteeChecker =
+                new GuaranteeChecker(callers, invariantChecker, taskBehaviour);
         List<String> violations =
                 loop.await(
                         result -> {
-                            List<String> lines = new ArrayList<>(promiseCheck.violations());
-                            lines.addAll(promiseCheck.unfinished());
+                            List<String> lines = new ArrayList<>(guaranteeChecker.violations());
+                            lines.addAll(guaranteeChecker.unfinished());
                             result.complete(lines);
                         });
         violations.forEach(line -> output.println("violation: " + line));
@@ -259,7 +271,7 @@
                 StepSpec.builder(1, need)
                         .estimateMillis(Math.max(1, Math.min(row.runTimeMillis(), MAX_TASK_MILLIS)))
                         .build();
-        return new Submission(load.nextId(), row.name().value(), List.of(step), 0, 0, 0);
+        return new Submission(callers.nextId(), row.name().value(), List.of(step), 0, 0, 0);
     }
 
     /**
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakLoad.java
@@ -135,10 +135,11 @@
                         0,
                         0,
                         0);
-        TrackedSubmission item = callers.send(route, submission);
+        TrackedSubmission trackedSubmission = callers.send(route, submission);
         if (random.nextDouble() < CANCEL_PROBABILITY) {
             runtime.schedule(
-                    random.nextInt(CANCEL_DELAY_BOUND_MILLIS), () -> cancelOnceAccepted(item));
+                    random.nextInt(CANCEL_DELAY_BOUND_MILLIS),
+                    () -> cancelOnceAccepted(trackedSubmission));
         }
     }
 
@@ -146,13 +147,13 @@
      * Cancels a submission once it is accepted. One that is settled without acceptance is not
      * cancelled.
      *
-     * @param item the submission
+     * @param trackedSubmission the submission
      */
-    private void cancelOnceAccepted(TrackedSubmission item) {
-        if (item.isAccepted()) {
-            callers.cancel(item);
-        } else if (!item.isSettled()) {
-            runtime.schedule(MEAN_INTERVAL_MILLIS, () -> cancelOnceAccepted(item));
+    private void cancelOnceAccepted(TrackedSubmission trackedSubmission) {
+        if (trackedSubmission.isAccepted()) {
+            callers.cancel(trackedSubmission);
+        } else if (!trackedSubmission.isSettled()) {
+            runtime.schedule(MEAN_INTERVAL_MILLIS, () -> cancelOnceAccepted(trackedSubmission));
         }
     }
 
--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/soak/SoakRun.java
@@ -103,7 +103,7 @@
     private final Manifest manifest = SoakLoad.createManifest();
 
     /** Checks the guarantees of the scheduler. */
-    private final GuaranteeChecker promiseCheck;
+    private final GuaranteeChecker guaranteeChecker;
 
     /** Generates the faults. */
     private final FaultGenerator faultGenerator;
@@ -133,7 +133,8 @@
         random = new Well19937c(settings.seed());
         loop = new LabEventLoop("soak", uncheckedExceptions::add);
         runtime = loop.runtime();
-        SubmittedTaskBehaviour work = new SubmittedTaskBehaviour(random, FAILURE_PROBABILITY);
+        SubmittedTaskBehaviour taskBehaviour =
+                new SubmittedTaskBehaviour(random, FAILURE_PROBABILITY);
         LocalDeploymentSettings deploymentSettings =
                 LocalDeploymentSettings.builder(directory).build();
         deployment =
@@ -143,7 +144,7 @@
                                         new LocalDeployment(
                                                 loop,
                                                 deploymentSettings,
-                                                work,
+                                                taskBehaviour,
                                                 invariantChecker,
                                                 random)));
         callers =
@@ -152,9 +153,9 @@
                         new CallerClient(loop.eventloop(), CALL_TIMEOUT_MILLIS),
                         deployment.entryVms().stream().map(EntryVmProcess::callerAddress).toList(),
                         random,
-                        work);
+                        taskBehaviour);
         load = new SoakLoad(runtime, random, callers);
-        promiseCheck = new GuaranteeChecker(callers, invariantChecker, work);
+        guaranteeChecker = new GuaranteeChecker(callers, invariantChecker, taskBehaviour);
         faultGenerator = new FaultGenerator(random, deployment, manifest);
     }
 
@@ -222,13 +223,13 @@
      * @param result completed with the violations at the end of the soak
      */
     private void checkGuarantees(CompletableFuture<List<String>> result) {
-        List<String> violations = promiseCheck.violations();
+        List<String> violations = guaranteeChecker.violations();
         boolean allFaultsEnded = runtime.nowMillis() > faultsEndMillis && activeFaults.isEmpty();
         if (allFaultsEnded) {
             load.stop();
         }
         violations.addAll(restartEndedProcesses());
-        List<String> unfinished = promiseCheck.unfinished();
+        List<String> unfinished = guaranteeChecker.unfinished();
         boolean timedOut = runtime.nowMillis() > faultsEndMillis + FINISH_TIMEOUT_MILLIS;
         if (timedOut) {
             violations.addAll(unfinished);
