--- a/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
+++ b/damasktiller-lab/src/main/java/org/damasktiller/lab/load/GuaranteeChecker.java
@@ -86,7 +86,7 @@
                     && !tracked.isCancelRequested()
                     && tracked.submission().hasLongRunningStep()) {
                 if (countActiveRuns(tracked) < tasksOf(tracked).size()) {
-                    found.add(id + ": long-running tasks are not at work");
+                    found.add(id + ": long-running tasks are not running");
                 }
             } else if (tracked.isAccepted() && !tracked.isSettled()) {
                 found.add(
